--- a/linnetwind/backpressure.py
+++ b/linnetwind/backpressure.py
@@ -39,7 +39,7 @@
     upstream: Upstream,
     most_per_s: float | None,
 ) -> None:
-    if not tools.state.books.limits.note(upstream, most_per_s):
+    if not tools.state.books.limits.record_limit(upstream, most_per_s):
         return
     tools.tell_peers()
     tools.log.event(
--- a/linnetwind/lives.py
+++ b/linnetwind/lives.py
@@ -1,38 +1,37 @@
-"""One life of a process that may start again under its name."""
+"""Identifiers of the incarnations of a process that restarts under its name."""
 
 import zlib
 from typing import NewType
 
-# Names one life: what is believed of a process is kept under this, so that
-# none of it is taken for true of the next one.
+# Identifies one incarnation. State about a process is stored under this, so
+# that it is not applied to the next incarnation.
 Life = NewType('Life', str)
-# Stands for a life in messages that have to be small.
+# Stands for an incarnation in messages that have to be small.
 LifeTag = NewType('LifeTag', int)
 
 
 def name_life(instance: str, born_ms: int | None) -> Life:
-    """Name one life of a process.
+    """Return the identifier of an incarnation.
 
     Args:
       instance: The name under which the process registers.
-      born_ms: The Unix time in milliseconds of its start, None where that is
-        not stated.
+      born_ms: The Unix time in milliseconds of its start, None if unknown.
 
     Returns:
-      The name; the instance alone where no start is stated.
+      The identifier; just the instance's name if the start is unknown.
     """
     return Life(instance if born_ms is None else f'{instance}#{born_ms}')
 
 
 def tag_life(life: Life) -> LifeTag:
-    """Return the 32-bit number that stands for a life in messages.
+    """Return the 32-bit number that stands for an incarnation in messages.
 
-    Both ends work it out by themselves, so that nothing has to be agreed. Two
-    of 600 lives share a number once in 24,000 lists; each is then taken to
-    run the streams of both, which leaves some places unused.
+    Sender and receiver both compute it, so they need no agreement on it. Among
+    600 incarnations two share a tag in one of 24,000 lists; each of the two is
+    then counted with the streams of both, which leaves some capacity unused.
 
     Args:
-      life: The life.
+      life: The incarnation.
 
     Returns:
       The number.
--- a/linnetwind/upstream_claim_test.py
+++ b/linnetwind/upstream_claim_test.py
@@ -71,7 +71,7 @@
 
 def _use_up_limit(state):
     """Name a limit, and take all that may be sent at once."""
-    state.books.limits.note(FIRST, PER_S)
+    state.books.limits.record_limit(FIRST, PER_S)
     while state.take_upstream(PLAIN, frozenset()):
         continue
 
--- a/linnetwind/upstream_limits.py
+++ b/linnetwind/upstream_limits.py
@@ -1,4 +1,9 @@
-"""Keeps to the limits that upstreams name; for any thread."""
+"""The request rates that overloaded upstreams limit all daemons to.
+
+An overloaded upstream states in its responses how many requests a second it
+accepts from all daemons together. Daemons advertise these limits to each
+other, and each sends at most its share.
+"""
 
 import threading
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -10,20 +15,25 @@
 
 from linnetwind.ages import AgeMs, age_of, moment_of
 from linnetwind.clock import Clock
-from linnetwind.limit_share import Pace, Share, share_of
+from linnetwind.limit_share import RateShare, SendSchedule, rate_share_of
 from linnetwind.lives import Life, LifeTag, tag_life
 from linnetwind.upstream_list import Upstream
 
-_MOST_PER_S = 1_000_000_000
-# A limit that has changed by less than this part is not told at once.
-_SAME_WITHIN = 0.1
+_MAX_PER_S = 1_000_000_000
+# Peers are not informed at once of a limit that has changed by less than this
+# fraction.
+_MIN_CHANGE = 0.1
 
-PerSecond = Annotated[float, Meta(ge=0, le=_MOST_PER_S)]
+PerSecond = Annotated[float, Meta(ge=0, le=_MAX_PER_S)]
 
 
 @dataclass(frozen=True, slots=True)
 class ToldLimit:
-    """What an upstream said to one daemon, `age_ms` ago; None: no limit."""
+    """A limit that an upstream stated to the daemon that advertises it.
+
+    `per_s` is None if the upstream stated no limit any more; `age_ms` is the
+    age of the statement when the message is sent.
+    """
 
     life: LifeTag
     per_s: PerSecond | None
@@ -40,136 +50,141 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """An upstream that takes a request once `wait` is over."""
+    """A reserved request to an upstream; it may be sent after `wait`."""
 
     upstream: Upstream
     wait: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class _Named:
-    """What an upstream said last, and when; None: it names no limit."""
+class _StatedLimit:
+    """What an upstream stated last, and when; `per_s` is None for no limit."""
 
     per_s: float | None
     at: timedelta
 
 
-# Returns each daemon's requests a second for a service, by its name.
+# Returns the requests a second that each daemon has for a service, by the
+# names of the daemons.
 Demands = Callable[[str], Mapping[str, float]]
 
 
 class UpstreamLimits:
-    """The limits of all upstreams, and what was sent against them."""
+    """The limits of all upstreams and the requests sent under them.
+
+    May be used from any thread.
+    """
 
     def __init__(self, clock: Clock, own: str, demands: Demands) -> None:
         """Start without limits.
 
         Args:
-          clock: For paces and ages.
+          clock: For send schedules and the ages of limits.
           own: The name of this daemon among `demands`.
-          demands: Tells how much each daemon has for a service.
+          demands: Returns the requests a second of each daemon for a service.
         """
         self._clock = clock
         self._own = own
         self._demands = demands
         self._lock = threading.Lock()
-        self._heard_here: dict[LifeTag, _Named] = {}
-        self._told: dict[LifeTag, _Named] = {}
-        self._paces: dict[LifeTag, Pace] = {}
+        self._stated: dict[LifeTag, _StatedLimit] = {}
+        self._advertised: dict[LifeTag, _StatedLimit] = {}
+        self._schedules: dict[LifeTag, SendSchedule] = {}
 
     @property
     def any_known(self) -> bool:
-        """Return whether some upstream has named a limit."""
-        return bool(self._heard_here or self._told)
+        """Return whether any upstream has stated a limit."""
+        return bool(self._stated or self._advertised)
 
-    def note(self, upstream: Upstream, per_s: float | None) -> bool:
-        """Take note of what an answer says.
+    def record_limit(self, upstream: Upstream, per_s: float | None) -> bool:
+        """Record the limit that an upstream states in a response.
 
         Args:
-          upstream: Who answered.
-          per_s: The requests a second that it takes from all daemons, None if
-            it names no limit.
+          upstream: The upstream that responded.
+          per_s: The requests a second that it accepts from all daemons, None
+            if it states no limit.
 
         Returns:
-          Whether peers have to hear of it at once.
+          Whether peers have to be informed at once.
         """
         before = self.per_s(upstream.life)
         if before is None and per_s is None:
             return False
-        named = _Named(per_s, self._clock.elapsed())
+        stated = _StatedLimit(per_s, self._clock.elapsed())
         with self._lock:
-            self._heard_here[tag_life(upstream.life)] = named
+            self._stated[tag_life(upstream.life)] = stated
         if before is None or per_s is None:
             return True
-        return abs(per_s - before) > _SAME_WITHIN * before
+        return abs(per_s - before) > _MIN_CHANGE * before
 
-    def hear(self, told: Iterable[ToldLimit]) -> None:
-        """Take in what a peer was told by upstreams.
+    def hear(self, limits: Iterable[ToldLimit]) -> None:
+        """Merge the limits that a peer advertises.
 
         Args:
-          told: What it was told last by each of them.
+          limits: The latest limit that each upstream stated to the peer.
         """
         now = self._clock.elapsed()
         with self._lock:
-            for each in told:
-                named = _Named(each.per_s, moment_of(each.age_ms, now))
-                before = self._told.get(each.life)
-                if before is None or before.at < named.at:
-                    self._told[each.life] = named
+            for each in limits:
+                stated = _StatedLimit(each.per_s, moment_of(each.age_ms, now))
+                before = self._advertised.get(each.life)
+                if before is None or before.at < stated.at:
+                    self._advertised[each.life] = stated
 
     def tell(self) -> tuple[ToldLimit, ...]:
-        """Return what peers have to hear: what upstreams said to this daemon.
+        """Return the limits to advertise: those stated to this daemon itself.
 
-        What peers said is not told on: its age would be wrong by the time of
-        the way, and two daemons would keep an old word alive between them.
+        Limits that peers advertised are not passed on. Their age would be off
+        by the transit time, and two daemons would keep an outdated limit alive
+        between them.
         """
         now = self._clock.elapsed()
         return tuple(
-            ToldLimit(life, named.per_s, age_of(named.at, now))
-            for life, named in list(self._heard_here.items())
+            ToldLimit(life, stated.per_s, age_of(stated.at, now))
+            for life, stated in list(self._stated.items())
         )
 
     def keep_only(self, lives: Collection[Life]) -> None:
-        """Forget upstreams that are gone.
+        """Discard the state of upstreams that are not registered any more.
 
         Args:
-          lives: Those that are registered.
+          lives: The incarnations that are registered.
         """
         if not self.any_known:
             return
         tags = {tag_life(life) for life in lives}
         with self._lock:
-            for known in (self._heard_here, self._told, self._paces):
-                for gone in known.keys() - tags:
-                    known.pop(gone)
+            for known in (self._stated, self._advertised, self._schedules):
+                for removed in known.keys() - tags:
+                    known.pop(removed)
 
     def per_s(self, life: Life) -> float | None:
-        """Return the limit that an upstream named last, to any daemon.
+        """Return the limit that an upstream stated last, to any daemon.
 
         Args:
-          life: The upstream's life.
+          life: The upstream's incarnation.
 
         Returns:
-          The requests a second from all daemons, None without a limit.
+          The requests a second from all daemons, None if it has no limit.
         """
         tag = tag_life(life)
-        words = [
+        statements = [
             known[tag]
-            for known in (self._heard_here, self._told)
+            for known in (self._stated, self._advertised)
             if tag in known
         ]
-        if not words:
+        if not statements:
             return None
-        return max(words, key=lambda named: named.at).per_s
+        return max(statements, key=lambda stated: stated.at).per_s
 
     def free(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return the upstreams that take a request from this daemon now.
+        """Return the upstreams to which this daemon may send a request now.
 
         Args:
           upstreams: Upstreams of one service.
 
         Returns:
-          Those without a limit, and those whose limit leaves a turn.
+          Those without a limit, and those whose limit allows a request.
         """
         if not self.any_known:
             return upstreams
@@ -179,7 +194,7 @@
         ]
 
     def take(self, upstream: Upstream) -> None:
-        """Count a request that is sent to an upstream.
+        """Count a request that is sent to an upstream against its limit.
 
         Args:
           upstream: The upstream.
@@ -190,36 +205,36 @@
     def reserve(
         self, upstreams: list[Upstream], longest: timedelta
     ) -> Turn | None:
-        """Take the next turn at upstreams that all have a limit.
+        """Reserve the earliest request that the upstreams' limits allow.
 
         Args:
           upstreams: Upstreams of one service.
           longest: The longest time to wait.
 
         Returns:
-          The turn, None if there is none in time.
+          The reservation, None if the request would have to wait longer.
         """
         now = self._clock.elapsed()
         waits = [(self._wait(each, now), each) for each in upstreams]
-        turns = [
+        reservations = [
             Turn(each, wait)
             for wait, each in waits
             if wait is not None and wait <= longest
         ]
-        if not turns:
+        if not reservations:
             return None
-        first = min(turns, key=lambda turn: turn.wait)
-        self._send(first.upstream, now)
-        return first
+        earliest = min(reservations, key=lambda reservation: reservation.wait)
+        self._send(earliest.upstream, now)
+        return earliest
 
     def next_turn(self, upstreams: list[Upstream]) -> timedelta | None:
-        """Return when an upstream has room for one more request from here.
+        """Return how soon this daemon may send the next request.
 
         Args:
           upstreams: Upstreams of one service.
 
         Returns:
-          The time until then, None if this daemon sends them none.
+          The time until then, None if this daemon may send to none of them.
         """
         now = self._clock.elapsed()
         waits = [self._wait(each, now) for each in upstreams]
@@ -229,21 +244,21 @@
         share = self._share(upstream)
         if share is None:
             return timedelta()
-        pace = self._paces.get(tag_life(upstream.life), Pace())
-        return pace.wait(share, now)
+        schedule = self._schedules.get(tag_life(upstream.life), SendSchedule())
+        return schedule.wait(share, now)
 
     def _send(self, upstream: Upstream, now: timedelta) -> None:
         share = self._share(upstream)
-        if share is None or not share.at_once:
+        if share is None or not share.burst:
             return
         tag = tag_life(upstream.life)
         with self._lock:
-            pace = self._paces.get(tag, Pace())
-            self._paces[tag] = pace.send(share, now)
+            schedule = self._schedules.get(tag, SendSchedule())
+            self._schedules[tag] = schedule.send(share, now)
 
-    def _share(self, upstream: Upstream) -> Share | None:
+    def _share(self, upstream: Upstream) -> RateShare | None:
         per_s = self.per_s(upstream.life)
         if per_s is None:
             return None
         demands = self._demands(upstream.service)
-        return share_of(upstream.life, per_s, self._own, demands)
+        return rate_share_of(upstream.life, per_s, self._own, demands)
--- a/linnetwind/upstream_limits_test.py
+++ b/linnetwind/upstream_limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon believes of the limits that upstreams name."""
+"""Tests of the limits that upstreams state to this daemon or to its peers."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -10,9 +10,9 @@
 from standins.gateway_fixtures import make_upstream
 
 SECOND = timedelta(seconds=1)
-SICK = make_upstream('sick')
-SISTER = make_upstream('sister', 81)
-TAG = tag_life(SICK.life)
+LIMITED = make_upstream('limited')
+OTHER = make_upstream('other', 81)
+TAG = tag_life(LIMITED.life)
 OWN = 'a'
 
 
@@ -28,72 +28,74 @@
     return UpstreamLimits(clock, OWN, lambda _service: {OWN: 1.0, 'b': 1.0})
 
 
-def _told(per_s, age_ms=0):
+def _advertised(per_s, age_ms=0):
     return (ToldLimit(TAG, per_s, age_ms),)
 
 
-def test_without_a_limit_nothing_is_counted(limits):
-    assert not limits.note(SICK, None)
+def test_without_a_limit_nothing_is_recorded(limits):
+    assert not limits.record_limit(LIMITED, None)
     assert not limits.any_known
-    assert limits.free([SICK, SISTER]) == [SICK, SISTER]
+    assert limits.free([LIMITED, OTHER]) == [LIMITED, OTHER]
     assert limits.tell() == ()
 
 
-def test_a_daemon_keeps_to_a_limit_that_a_peer_heard(limits):
-    # This daemon has sent nothing to the upstream since it names its limit.
-    limits.hear(_told(0.0))
+def test_a_daemon_keeps_to_a_limit_that_a_peer_advertised(limits):
+    # This daemon has sent nothing to the upstream since it states a limit.
+    limits.hear(_advertised(0.0))
     for _request in range(10):
-        limits.take(SICK)
-    assert limits.free([SICK, SISTER]) == [SISTER]
+        limits.take(LIMITED)
+    assert limits.free([LIMITED, OTHER]) == [OTHER]
 
 
-def test_an_answer_without_the_limit_ends_it(limits, clock):
-    assert limits.note(SICK, 2.0)
+def test_a_response_without_a_limit_ends_the_limit(limits, clock):
+    assert limits.record_limit(LIMITED, 2.0)
     clock.advance(SECOND)
-    assert limits.note(SICK, None)
-    assert limits.per_s(SICK.life) is None
-    # Peers have to hear of the end as well.
+    assert limits.record_limit(LIMITED, None)
+    assert limits.per_s(LIMITED.life) is None
+    # Peers have to learn that the limit has ended.
     assert limits.tell() == (ToldLimit(TAG, None, 0),)
 
 
 @pytest.mark.parametrize(('age_ms', 'expected'), [(1500, 2.0), (500, 7.0)])
-def test_the_newest_word_counts_whoever_heard_it(
+def test_the_latest_statement_counts_whichever_daemon_got_it(
     limits, clock, age_ms, expected
 ):
-    # States arrive late and in any order.
-    limits.note(SICK, 2.0)
+    # The states of peers arrive late and in any order.
+    limits.record_limit(LIMITED, 2.0)
     clock.advance(SECOND)
-    limits.hear(_told(7.0, age_ms))
-    assert limits.per_s(SICK.life) == expected
+    limits.hear(_advertised(7.0, age_ms))
+    assert limits.per_s(LIMITED.life) == expected
 
 
-def test_what_a_peer_said_is_not_told_on(limits):
-    # Two daemons would keep an old word alive between them.
-    limits.hear(_told(2.0))
+def test_limits_from_peers_are_not_passed_on(limits):
+    # Two daemons would keep an outdated limit alive between them.
+    limits.hear(_advertised(2.0))
     assert limits.tell() == ()
 
 
 @pytest.mark.parametrize(
-    ('before', 'now', 'told'),
+    ('before', 'now', 'informed'),
     [(2.0, 2.1, False), (2.0, 3.0, True), (0.0, 0.0, False), (0.0, 1.0, True)],
 )
-def test_peers_are_told_at_once_of_what_changes_much(limits, before, now, told):
-    limits.note(SICK, before)
-    assert limits.note(SICK, now) is told
+def test_peers_are_informed_at_once_of_large_changes(
+    limits, before, now, informed
+):
+    limits.record_limit(LIMITED, before)
+    assert limits.record_limit(LIMITED, now) is informed
 
 
-def test_the_next_life_of_an_upstream_has_no_limit(limits):
-    limits.note(SICK, 0.0)
-    limits.keep_only({SISTER.life})
+def test_the_next_incarnation_of_an_upstream_has_no_limit(limits):
+    limits.record_limit(LIMITED, 0.0)
+    limits.keep_only({OTHER.life})
     assert not limits.any_known
 
 
-def test_a_request_waits_only_if_its_turn_comes_in_time(limits):
-    limits.note(SICK, 2.0)
-    while limits.free([SICK]):
-        limits.take(SICK)
-    assert limits.reserve([SICK], SECOND / 10) is None
-    turn = limits.reserve([SICK], 2 * SECOND)
-    assert timedelta() < turn.wait <= SECOND
-    # The turn is taken: the next one comes later.
-    assert limits.next_turn([SICK]) > turn.wait
+def test_a_request_is_reserved_only_within_the_longest_wait(limits):
+    limits.record_limit(LIMITED, 2.0)
+    while limits.free([LIMITED]):
+        limits.take(LIMITED)
+    assert limits.reserve([LIMITED], SECOND / 10) is None
+    reservation = limits.reserve([LIMITED], 2 * SECOND)
+    assert timedelta() < reservation.wait <= SECOND
+    # The reservation counts: the next request has to wait longer.
+    assert limits.next_turn([LIMITED]) > reservation.wait
