--- a/linnetwind/backpressure.py
+++ b/linnetwind/backpressure.py
@@ -1,7 +1,7 @@
-"""Remembers what an upstream's answer says of the requests that it takes.
+"""Records the backpressure that an upstream states in its responses.
 
-What an answer says of its upstream holds for all requests that come after it,
-so that it must not end with the request that met it.
+A limit, a backoff or an announced leave holds for all later requests, so it is
+recorded in the gateway's state and not with the request that got the response.
 """
 
 from linnetwind.call_types import AnswerFacts
@@ -16,24 +16,25 @@
     upstream: Upstream,
     answer: AnswerFacts,
 ) -> None:
-    """Take note of an upstream's limit, of a backoff, and that it leaves.
+    """Record the limit, backoff and announced leave of an upstream.
 
     Args:
       tools: What every request needs.
-      journey: The request that was answered.
-      upstream: Who was asked. An answer of another one says nothing of it.
-      answer: What the answer's head says.
+      journey: The request that got the response.
+      upstream: The upstream that was called. A response of another instance
+        says nothing about it and is ignored.
+      answer: The facts in the head of the response.
     """
     if answer.misdirected:
         return
-    _note_limit(tools, journey, upstream, answer.most_per_s)
+    _record_limit(tools, journey, upstream, answer.most_per_s)
     if answer.backoff is not None:
-        _note_backoff(tools, journey, upstream, answer)
+        _record_backoff(tools, journey, upstream, answer)
     if answer.leaving:
         _record_leaving(tools, journey, upstream)
 
 
-def _note_limit(
+def _record_limit(
     tools: GatewayTools,
     journey: Journey,
     upstream: Upstream,
@@ -47,13 +48,15 @@
     )
 
 
-def _note_backoff(
+def _record_backoff(
     tools: GatewayTools,
     journey: Journey,
     upstream: Upstream,
     answer: AnswerFacts,
 ) -> None:
-    before = tools.state.books.backoffs.note(upstream.life, answer.backoff)
+    before = tools.state.books.backoffs.record_backoff(
+        upstream.life, answer.backoff
+    )
     now = tools.clock.elapsed()
     tools.log.event(
         BackoffAsked(
@@ -61,7 +64,7 @@
             upstream.life,
             answer.backoff,
             now - journey.request.received,
-            None if before is None else now - before.asked_at,
+            None if before is None else now - before.requested_at,
             None if before is None else before.until - now,
         )
     )
--- a/linnetwind/upstream_backoff.py
+++ b/linnetwind/upstream_backoff.py
@@ -1,8 +1,8 @@
-"""Upstreams that want no requests from this daemon for a time.
+"""Upstreams to which this daemon must send no requests for a time.
 
-An upstream that refuses a request may say for how long the daemon that sent it
-has to back off. Each daemon hears that for itself only, so that nothing is
-told to peers.
+An upstream that refuses a request may state for how long the sending daemon
+has to back off. This concerns that daemon alone, so it is not advertised to
+peers.
 """
 
 import threading
@@ -17,55 +17,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """The monotonic times at which an upstream asked and is to be back."""
+    """The monotonic times at which a backoff was requested and ends."""
 
-    asked_at: timedelta
+    requested_at: timedelta
     until: timedelta
 
 
 class UpstreamBackoffs:
-    """The backoffs that upstreams have asked for; for any thread."""
+    """The backoffs that upstreams requested; may be used from any thread."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without any.
+        """Start without backoffs.
 
         Args:
-          clock: For their ends.
+          clock: For the ends of backoffs.
         """
         self._clock = clock
         self._lock = threading.Lock()
         self._backoffs: Mapping[Life, Backoff] = {}
         self._last_end = timedelta()
 
-    def note(self, life: Life, wanted: timedelta) -> Backoff | None:
-        """Take note that an upstream asks to back off from now on.
+    def record_backoff(self, life: Life, length: timedelta) -> Backoff | None:
+        """Record that an upstream requests a backoff from now on.
 
         Args:
-          life: The upstream's life.
-          wanted: For how long. One that was asked for before is not made
-            shorter.
+          life: The upstream's incarnation.
+          length: The length of the backoff. A backoff in force that ends later
+            is not shortened.
 
         Returns:
-          The backoff that was in force already, if any.
+          The backoff that was already in force, if any.
         """
         now = self._clock.elapsed()
         with self._lock:
             in_force = _in_force(self._backoffs, now)
             before = in_force.get(life)
-            until = now + wanted
+            until = now + length
             if before is None or before.until < until:
                 self._backoffs = {**in_force, life: Backoff(now, until)}
                 self._last_end = max(self._last_end, until)
         return before
 
-    def left(self, life: Life) -> timedelta:
-        """Return for how long an upstream still wants no requests.
+    def remaining(self, life: Life) -> timedelta:
+        """Return the remaining backoff of an upstream.
 
         Args:
-          life: The upstream's life.
+          life: The upstream's incarnation.
 
         Returns:
-          The time, zero if it takes requests.
+          The time, zero if no backoff is in force.
         """
         backoff = self._backoffs.get(life)
         if backoff is None:
@@ -73,36 +73,37 @@
         return max(backoff.until - self._clock.elapsed(), timedelta())
 
     def free(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return the upstreams that take requests from this daemon.
+        """Return the upstreams that have no backoff in force.
 
         Args:
           upstreams: Any upstreams.
 
         Returns:
-          Those of them that did not ask to back off; the same object if no
-          upstream did.
+          The upstreams without a backoff; the same object if no upstream at
+          all has one.
         """
-        refusing = self._refusing()
-        if not refusing:
+        backing_off = self._backing_off()
+        if not backing_off:
             return upstreams
-        return [each for each in upstreams if each.life not in refusing]
+        return [each for each in upstreams if each.life not in backing_off]
 
     def left_for_all(self, upstreams: Iterable[Upstream]) -> timedelta:
-        """Return when the first of some upstreams takes requests again.
+        """Return the time until the first backoff of some upstreams ends.
 
         Args:
           upstreams: Any upstreams.
 
         Returns:
-          The time until then; zero if one takes requests, or there is none.
+          The time; zero if one of them has no backoff, or if there are no
+          upstreams.
         """
-        refusing = self._refusing()
-        lives = [each.life for each in upstreams] if refusing else []
-        if any(life not in refusing for life in lives):
+        backing_off = self._backing_off()
+        lives = [each.life for each in upstreams] if backing_off else []
+        if any(life not in backing_off for life in lives):
             return timedelta()
-        return min(map(self.left, lives), default=timedelta())
+        return min(map(self.remaining, lives), default=timedelta())
 
-    def _refusing(self) -> Collection[Life]:
+    def _backing_off(self) -> Collection[Life]:
         now = self._clock.elapsed()
         if self._last_end <= now:
             return ()
--- a/linnetwind/upstream_backoff_test.py
+++ b/linnetwind/upstream_backoff_test.py
@@ -1,4 +1,4 @@
-"""Tests of the backoffs that upstreams ask for."""
+"""Tests of the backoffs that upstreams request."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -9,8 +9,8 @@
 from standins.gateway_fixtures import make_upstream
 
 SECOND = timedelta(seconds=1)
-SICK = make_upstream('sick')
-SISTER = make_upstream('sister', 81)
+REFUSING = make_upstream('refusing')
+OTHER = make_upstream('other', 81)
 
 
 @pytest.fixture(name='clock')
@@ -25,46 +25,48 @@
     return UpstreamBackoffs(clock)
 
 
-def test_a_backoff_in_force_is_told(clock, backoffs):
-    assert backoffs.note(SICK.life, 3 * SECOND) is None
+def test_a_backoff_in_force_is_returned(clock, backoffs):
+    assert backoffs.record_backoff(REFUSING.life, 3 * SECOND) is None
     clock.advance(SECOND)
     in_force = Backoff(10 * SECOND, 13 * SECOND)
-    assert backoffs.note(SICK.life, 4 * SECOND) == in_force
+    assert backoffs.record_backoff(REFUSING.life, 4 * SECOND) == in_force
 
 
-def test_a_backoff_that_is_over_is_not_told(clock, backoffs):
-    backoffs.note(SICK.life, 3 * SECOND)
+def test_a_backoff_that_has_ended_is_not_returned(clock, backoffs):
+    backoffs.record_backoff(REFUSING.life, 3 * SECOND)
     clock.advance(3 * SECOND)
-    assert backoffs.note(SICK.life, SECOND) is None
+    assert backoffs.record_backoff(REFUSING.life, SECOND) is None
 
 
-def test_an_upstream_that_wants_none_is_not_free(clock, backoffs):
-    both = [SICK, SISTER]
+def test_an_upstream_in_backoff_is_left_out(clock, backoffs):
+    both = [REFUSING, OTHER]
     assert backoffs.free(both) is both
-    backoffs.note(SICK.life, 3 * SECOND)
-    assert backoffs.free(both) == [SISTER]
+    backoffs.record_backoff(REFUSING.life, 3 * SECOND)
+    assert backoffs.free(both) == [OTHER]
     clock.advance(3 * SECOND)
     assert backoffs.free(both) is both
 
 
 def test_a_later_shorter_backoff_does_not_end_a_longer_one(clock, backoffs):
-    """Guards against a second answer that cuts the first one's time short."""
-    backoffs.note(SICK.life, 3 * SECOND)
+    """Guards against a second response that shortens the first backoff."""
+    backoffs.record_backoff(REFUSING.life, 3 * SECOND)
     clock.advance(SECOND)
-    backoffs.note(SICK.life, SECOND)
-    assert backoffs.left(SICK.life) == 2 * SECOND
+    backoffs.record_backoff(REFUSING.life, SECOND)
+    assert backoffs.remaining(REFUSING.life) == 2 * SECOND
 
 
-def test_all_want_none_until_the_first_one_is_back(backoffs):
-    backoffs.note(SICK.life, 3 * SECOND)
-    assert not backoffs.left_for_all([SICK, SISTER])
-    backoffs.note(SISTER.life, SECOND)
-    assert backoffs.left_for_all([SICK, SISTER]) == SECOND
+def test_the_remaining_time_for_all_is_that_of_the_first_to_end(backoffs):
+    backoffs.record_backoff(REFUSING.life, 3 * SECOND)
+    assert not backoffs.left_for_all([REFUSING, OTHER])
+    backoffs.record_backoff(OTHER.life, SECOND)
+    assert backoffs.left_for_all([REFUSING, OTHER]) == SECOND
     assert not backoffs.left_for_all([])
 
 
-def test_the_next_life_of_an_upstream_has_asked_for_nothing(backoffs):
-    """Guards against a worker that starts anew and gets no requests."""
-    backoffs.note(make_upstream('sick', born_ms=1).life, 3 * SECOND)
-    reborn = make_upstream('sick', born_ms=2)
-    assert backoffs.free([reborn]) == [reborn]
+def test_the_next_incarnation_of_an_upstream_has_no_backoff(backoffs):
+    """Guards against an upstream that restarts and gets no requests."""
+    backoffs.record_backoff(
+        make_upstream('refusing', born_ms=1).life, 3 * SECOND
+    )
+    restarted = make_upstream('refusing', born_ms=2)
+    assert backoffs.free([restarted]) == [restarted]
--- a/linnetwind/upstream_claim.py
+++ b/linnetwind/upstream_claim.py
@@ -1,4 +1,4 @@
-"""Taking an upstream for a request, at once or when one has a turn for it."""
+"""Acquires an upstream for a request, at once or after a wait."""
 
 import threading
 from datetime import timedelta
@@ -6,39 +6,41 @@
 from linnetwind.journey import GatewayTools, Journey
 from linnetwind.upstream_list import Upstream
 
-# When a caller may come back whose request no upstream could take.
+# How soon a caller may retry if no upstream accepts the request.
 _RETRY_SOON_MS = 400
 RETRY_SOON = timedelta(milliseconds=_RETRY_SOON_MS)
 
 
 def claim_upstream(tools: GatewayTools, journey: Journey) -> Upstream | None:
-    """Return an upstream at which the request is counted.
+    """Acquire an upstream and count the request there.
 
     Args:
       tools: What every request needs.
-      journey: The request; it may wait while its answer can be in time.
+      journey: The request. It waits for an upstream only as long as its
+        response can still meet the target latency.
 
     Returns:
-      The upstream, None if none takes the request in time.
+      The upstream, None if none accepts the request in time.
     """
-    upstream = journey.claimed or _take(tools, journey)
+    upstream = journey.claimed or _acquire(tools, journey)
     journey.claimed = None
-    while upstream is not None and not _takes_requests(tools, upstream):
-        # It began to drain or to refuse while the request waited.
+    while upstream is not None and not _accepts_requests(tools, upstream):
+        # It started to drain, or requested a backoff, while the request
+        # waited.
         tools.state.give_back(upstream)
-        upstream = _take(tools, journey)
+        upstream = _acquire(tools, journey)
     return upstream
 
 
 def next_turn(tools: GatewayTools, journey: Journey) -> timedelta:
-    """Return when a request may come back for which nobody has room.
+    """Return when the caller should retry a request that no upstream accepts.
 
     Args:
       tools: What every request needs.
       journey: The request.
 
     Returns:
-      The time until an upstream should take it.
+      The time until an upstream should accept it.
     """
     limits = tools.state.books.limits
     wait = _backoff_of_all(tools, journey)
@@ -49,47 +51,47 @@
     return max(RETRY_SOON, wait or RETRY_SOON)
 
 
-def _takes_requests(tools: GatewayTools, upstream: Upstream) -> bool:
+def _accepts_requests(tools: GatewayTools, upstream: Upstream) -> bool:
     now = tools.clock.elapsed()
     is_usable = tools.state.upstreams.is_usable(upstream, now)
-    return is_usable and not tools.state.books.backoffs.left(upstream.life)
+    return is_usable and not tools.state.books.backoffs.remaining(upstream.life)
 
 
-def _take(tools: GatewayTools, journey: Journey) -> Upstream | None:
-    """Take an upstream now, or one for which the request waits in time."""
-    taken = _take_now(tools, journey)
-    if taken is not None:
-        return taken
-    in_time = journey.request.received + journey.route.target
-    longest = in_time - tools.clock.elapsed()
+def _acquire(tools: GatewayTools, journey: Journey) -> Upstream | None:
+    """Acquire an upstream now, or after a wait that the target allows."""
+    upstream = _acquire_now(tools, journey)
+    if upstream is not None:
+        return upstream
+    deadline = journey.request.received + journey.route.target
+    longest = deadline - tools.clock.elapsed()
     backoff = _backoff_of_all(tools, journey)
     if timedelta() < backoff <= longest:
         _sleep(backoff)
-        return _take_now(tools, journey)
+        return _acquire_now(tools, journey)
     if not backoff and tools.state.books.limits.any_known:
-        return _wait_for_turn(tools, journey, longest)
+        return _reserve(tools, journey, longest)
     return None
 
 
-def _take_now(tools: GatewayTools, journey: Journey) -> Upstream | None:
+def _acquire_now(tools: GatewayTools, journey: Journey) -> Upstream | None:
     tried = frozenset(journey.tried)
     return tools.state.take_upstream(journey.service, tried)
 
 
-def _wait_for_turn(
+def _reserve(
     tools: GatewayTools, journey: Journey, longest: timedelta
 ) -> Upstream | None:
-    """Wait for the next turn at an upstream with a limit."""
+    """Reserve a request under an upstream's limit and wait until it is due."""
     tried = frozenset(journey.tried)
-    turn = tools.state.take_turn(journey.service, tried, longest)
-    if turn is None:
+    reservation = tools.state.take_turn(journey.service, tried, longest)
+    if reservation is None:
         return None
-    _sleep(turn.wait)
-    return turn.upstream
+    _sleep(reservation.wait)
+    return reservation.upstream
 
 
 def _backoff_of_all(tools: GatewayTools, journey: Journey) -> timedelta:
-    """Return how long no upstream that is left wants the request, or zero."""
+    """Return how long all untried upstreams are in backoff, or zero."""
     now = tools.clock.elapsed()
     usable = tools.state.upstreams.usable(journey.service.name, now)
     untried = [each for each in usable if each.instance not in journey.tried]
--- a/linnetwind/upstream_claim_test.py
+++ b/linnetwind/upstream_claim_test.py
@@ -20,11 +20,11 @@
 FIRST = make_upstream('first')
 
 
-class Waits:
-    """A gateway whose waits pass at once, with something done in each."""
+class InstantWaits:
+    """A gateway whose waits end at once; `change` runs during each wait."""
 
     def __init__(self, clock, state):
-        """Begin a request."""
+        """Start a request."""
         self.clock = clock
         self.state = state
         self.change = lambda: None
@@ -38,17 +38,17 @@
         )
 
     def Event(self):
-        """Stand for the event on which a request waits."""
+        """Replace the event on which a request waits."""
         return self
 
     def wait(self, seconds):
-        """Let the time pass."""
+        """Advance the clock."""
         self.waited += 1
         self.clock.advance(seconds * SECOND)
         self.change()
 
     def claim(self):
-        """Return what a request gets."""
+        """Return the upstream that the request acquires."""
         return claim_upstream(self, self.journey)
 
 
@@ -58,7 +58,7 @@
     clock.advance(10 * SECOND)
     terms = BudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
-    waits = Waits(clock, state)
+    waits = InstantWaits(clock, state)
     monkeypatch.setattr('linnetwind.upstream_claim.threading', waits)
     _register(state, 0, FIRST)
     return waits
@@ -70,28 +70,30 @@
 
 
 def _use_up_limit(state):
-    """Name a limit, and take all that may be sent at once."""
+    """Record a limit, and send the whole burst that it allows."""
     state.books.limits.record_limit(FIRST, PER_S)
     while state.take_upstream(PLAIN, frozenset()):
         continue
 
 
-def test_a_request_waits_for_its_turn(waits):
+def test_a_request_above_the_limit_waits(waits):
     _use_up_limit(waits.state)
     assert waits.claim() == FIRST
     assert waits.waited == 1
 
 
-def test_a_request_that_waited_is_not_sent_in_a_backoff(waits):
-    """Guards against a backoff that begins between choice and sending."""
+def test_a_request_that_waited_is_not_sent_during_a_backoff(waits):
+    """Guards against a backoff that starts between choice and sending."""
     _use_up_limit(waits.state)
-    waits.change = lambda: waits.state.books.backoffs.note(FIRST.life, BACKOFF)
+    waits.change = lambda: waits.state.books.backoffs.record_backoff(
+        FIRST.life, BACKOFF
+    )
     assert waits.claim() is None
     assert waits.waited == 1
 
 
-def test_a_request_that_waited_is_not_sent_to_one_that_drains(waits):
-    """Guards against a drain that begins between choice and sending."""
+def test_a_request_that_waited_is_not_sent_to_a_draining_upstream(waits):
+    """Guards against a drain that starts between choice and sending."""
     _use_up_limit(waits.state)
     draining = make_upstream('first', draining=True)
     waits.change = lambda: _register(waits.state, 1, draining)
@@ -99,8 +101,8 @@
     assert waits.waited == 1
 
 
-def test_a_request_that_waited_is_not_sent_to_one_that_leaves(waits):
-    """Guards against a leave that is told between choice and sending."""
+def test_a_request_that_waited_is_not_sent_to_a_leaving_upstream(waits):
+    """Guards against a leave announced between choice and sending."""
     _use_up_limit(waits.state)
     waits.change = lambda: waits.state.change_upstreams(
         lambda known: known.record_leaving(FIRST)
@@ -114,28 +116,28 @@
     other = make_upstream('other', 81)
 
     def replace_first():
-        waits.state.books.backoffs.note(FIRST.life, BACKOFF)
+        waits.state.books.backoffs.record_backoff(FIRST.life, BACKOFF)
         _register(waits.state, 1, other)
 
     waits.change = replace_first
     assert waits.claim() == other
 
 
-def test_a_request_waits_for_the_end_of_a_backoff_that_is_near(waits):
-    waits.state.books.backoffs.note(FIRST.life, 300 * MS)
+def test_a_request_waits_for_a_backoff_that_ends_soon(waits):
+    waits.state.books.backoffs.record_backoff(FIRST.life, 300 * MS)
     assert waits.claim() == FIRST
     assert waits.waited == 1
 
 
 def test_a_request_that_would_be_late_does_not_wait(waits):
-    """Guards against callers held for nothing who could be told the time."""
-    waits.state.books.backoffs.note(FIRST.life, BACKOFF)
+    """Guards against callers that wait in vain and get no time to retry."""
+    waits.state.books.backoffs.record_backoff(FIRST.life, BACKOFF)
     assert waits.claim() is None
     assert waits.waited == 0
     assert next_turn(waits, waits.journey) == BACKOFF
 
 
-def test_who_finds_no_upstream_at_all_comes_back_soon(waits):
+def test_a_request_without_any_upstream_is_retried_soon(waits):
     _register(waits.state, 1, make_upstream('first', draining=True))
     assert waits.claim() is None
     assert next_turn(waits, waits.journey) == RETRY_SOON
--- a/linnetwind/upstream_limits.py
+++ b/linnetwind/upstream_limits.py
@@ -31,8 +31,8 @@
 class ToldLimit:
     """A limit that an upstream stated to the daemon that advertises it.
 
-    `per_s` is None if the upstream stated no limit any more; `age_ms` is the
-    age of the statement when the message is sent.
+    `per_s` is None if the upstream does not state a limit any more; `age_ms` is
+    the age of the statement when the message is sent.
     """
 
     life: LifeTag
--- a/linnetwind/upstream_refusals_test.py
+++ b/linnetwind/upstream_refusals_test.py
@@ -1,4 +1,4 @@
-"""A replay of ranks that refuse part of their requests and ask to back off."""
+"""Simulates ranks that refuse some of their requests and request backoffs."""
 
 import random
 from datetime import UTC, datetime
@@ -17,46 +17,46 @@
 RANKS = 16
 REFUSING = 5
 REFUSED_SHARE = 0.4
-# One gateway's part of 37 streams a second, for ten seconds.
+# One gateway's share of 37 streams a second, for ten seconds.
 STREAMS = 100
 SPACING = 100 * MS
-TRIES = 2
-# An upstream bears what was on its way when it asked.
-ON_THE_WAY = SECOND / 2
+MAX_ATTEMPTS = 2
+# Requests in flight when an upstream requests a backoff do not count.
+IN_FLIGHT = SECOND / 2
 
 
 class RefusingRanks:
-    """Ranks of which the first few refuse part of what they get."""
+    """Ranks of which the first few refuse some of their requests."""
 
-    def __init__(self, clock, state, *, names_backoffs):
-        """Start without refusals; `names_backoffs`: they tell the gateway."""
+    def __init__(self, clock, state, *, states_backoffs):
+        """Start; if `states_backoffs`, refusals carry a backoff."""
         self._clock = clock
         self._state = state
-        self._names_backoffs = names_backoffs
-        self._asked = {}
+        self._states_backoffs = states_backoffs
+        self._refused_at = {}
         self._random = random.Random(3)
-        self.in_backoffs = 0
+        self.sent_in_backoffs = 0
         self.refused = 0
 
     def send(self, upstream) -> bool:
-        """Return whether a rank takes a stream."""
+        """Return whether a rank accepts a stream."""
         now = self._clock.elapsed()
-        asked = self._asked.get(upstream.instance, -BACKOFF)
-        self.in_backoffs += ON_THE_WAY < now - asked < BACKOFF
+        refused_at = self._refused_at.get(upstream.instance, -BACKOFF)
+        self.sent_in_backoffs += IN_FLIGHT < now - refused_at < BACKOFF
         refuses = int(upstream.instance) < REFUSING
         if not refuses or self._random.random() > REFUSED_SHARE:
             return True
         self.refused += 1
-        self._asked[upstream.instance] = now
-        if self._names_backoffs:
-            self._state.books.backoffs.note(upstream.life, BACKOFF)
+        self._refused_at[upstream.instance] = now
+        if self._states_backoffs:
+            self._state.books.backoffs.record_backoff(upstream.life, BACKOFF)
         return False
 
 
-def _ask(state, ranks) -> bool:
-    """Return whether a stream runs within its tries."""
+def _run_stream(state, ranks) -> bool:
+    """Return whether a stream runs within its attempts."""
     tried = set()
-    for _try in range(TRIES):
+    for _attempt in range(MAX_ATTEMPTS):
         upstream = state.take_upstream(MODEL, frozenset(tried))
         runs = ranks.send(upstream)
         state.give_back(upstream)
@@ -66,7 +66,7 @@
     return False
 
 
-def _play(*, names_backoffs):
+def _simulate(*, states_backoffs):
     random.seed(7)
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     terms = BudgetTerms(10 * SECOND, 0.2, 88)
@@ -77,22 +77,23 @@
     records = [Registered(each.instance, 0, each) for each in entries]
     state.change_upstreams(lambda known: known.take(records, 1))
     lives = tuple(each.life for each in entries)
-    ranks = RefusingRanks(clock, state, names_backoffs=names_backoffs)
-    lost = 0
+    ranks = RefusingRanks(clock, state, states_backoffs=states_backoffs)
+    failed = 0
     for _stream in range(STREAMS):
         clock.advance(SPACING)
-        told = GroupBrief('model', 'group', 1, True, 1.5, 0, lives)
-        state.room.take_brief(told)
-        lost += not _ask(state, ranks)
-    return ranks, lost
+        summary = GroupBrief('model', 'group', 1, True, 1.5, 0, lives)
+        state.room.take_brief(summary)
+        failed += not _run_stream(state, ranks)
+    return ranks, failed
 
 
-def test_refusals_that_name_a_backoff_cost_one_try_each():
+def test_refusals_with_a_backoff_cost_one_attempt_each():
     """Guards against callers refused while other ranks have free slots."""
-    ranks, lost = _play(names_backoffs=True)
-    assert ranks.in_backoffs == 0
-    assert lost == 0
-    # Each of them once in that time; untold, they refuse more.
-    times = STREAMS * SPACING / BACKOFF
-    assert ranks.refused <= REFUSING * times
-    assert _play(names_backoffs=False)[0].refused > ranks.refused
+    ranks, failed = _simulate(states_backoffs=True)
+    assert ranks.sent_in_backoffs == 0
+    assert failed == 0
+    # Each of these ranks refuses one stream in each backoff period; without
+    # backoffs they refuse more.
+    periods = STREAMS * SPACING / BACKOFF
+    assert ranks.refused <= REFUSING * periods
+    assert _simulate(states_backoffs=False)[0].refused > ranks.refused
