--- a/linnetwind/call_policy.py
+++ b/linnetwind/call_policy.py
@@ -1,8 +1,8 @@
-"""What a request is allowed, and what follows a failed attempt.
+"""Decides whether a request is allowed, and what follows a failed attempt.
 
-Pure decisions: whether a configuration lets a request through, and whether
-an attempt that failed is followed by another or by a final answer. A final
-answer says "not run" only if no attempt can have run.
+Pure functions: one checks a request against the configuration, the other
+decides whether a failed attempt is followed by a retry or by a final response
+to the caller. A final response says "not run" only if no attempt can have run.
 """
 
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 from linnetwind.call_types import CallFacts
 from linnetwind.routes import Route, RouteTable, find_route
 
-# Less time than this is not enough for another attempt.
-_LEAST_TIME_MS = 30
-LEAST_TIME = timedelta(milliseconds=_LEAST_TIME_MS)
+# The least remaining time in which another attempt is worthwhile.
+_MIN_ATTEMPT_TIME_MS = 30
+MIN_ATTEMPT_TIME = timedelta(milliseconds=_MIN_ATTEMPT_TIME_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class Allowed:
-    """The request may run for this customer (None on anonymous routes)."""
+    """The request may run, for `customer` (None on anonymous routes)."""
 
     route: Route
     customer: str | None
@@ -38,7 +38,7 @@
 
     Args:
       table: The configuration in force.
-      facts: What the request says of itself.
+      facts: What the head of the request states.
 
     Returns:
       The decision.
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLost:
-    """An attempt without an answer.
+    """An attempt that got no usable response.
 
-    `may_have_run` is False only if nothing was sent or the upstream said
-    that it did not run the request; `reached` is False if nothing was sent.
+    `may_have_run` is False only if nothing was sent, or if the upstream stated
+    that it did not run the request. `reached` is False if nothing was sent.
+    `out_of_time` says that the attempt ended because of its timeout.
     """
 
     reason: str
@@ -68,7 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Progressed:
-    """How far a request is: the upstreams that it was sent to, and more."""
+    """The progress of a request over all its attempts.
+
+    `sent_to` is the number of upstreams that the request was sent to,
+    `any_may_have_run` whether any attempt may have run it.
+    """
 
     sent_to: int
     any_may_have_run: bool
@@ -79,8 +84,8 @@
 class TryAnother:
     """Send the request to another upstream.
 
-    `counts` says that this draws on the shared budget of repeats; without
-    room there, `instead` is the final answer.
+    `counts` says whether this spends a retry of the shared budget. If the
+    budget is exhausted, `instead` is the final response.
     """
 
     counts: bool
@@ -89,7 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Give the caller this final answer; `not_run` makes it a refusal."""
+    """Send this final response to the caller.
+
+    `not_run` makes it a refusal: no attempt has run the request, so the caller
+    may safely retry it.
+    """
 
     status: int
     not_run: bool
@@ -97,38 +106,38 @@
 
 
 def after_loss(
-    route: Route, lost: AttemptLost, progressed: Progressed
+    route: Route, attempt: AttemptLost, progress: Progressed
 ) -> TryAnother | GiveUp:
-    """Decide what follows an attempt without an answer.
+    """Decide what follows a failed attempt.
 
     Args:
       route: The request's route.
-      lost: How the attempt ended.
-      progressed: How far the request is, with this attempt.
+      attempt: The failed attempt.
+      progress: The progress of the request, this attempt included.
 
     Returns:
       The decision.
     """
-    may_have_run = progressed.any_may_have_run or lost.may_have_run
-    final = _final(lost, may_have_run=may_have_run)
-    if lost.out_of_time or progressed.time_left < LEAST_TIME:
+    may_have_run = progress.any_may_have_run or attempt.may_have_run
+    final = _final(attempt, may_have_run=may_have_run)
+    if attempt.out_of_time or progress.time_left < MIN_ATTEMPT_TIME:
         return final
     if may_have_run and not route.repeatable:
-        # A second run could do the work twice.
+        # A retry could run the work twice.
         return final
-    if not lost.reached:
+    if not attempt.reached:
         return TryAnother(counts=False, instead=final)
-    if progressed.sent_to >= route.max_attempts:
+    if progress.sent_to >= route.max_attempts:
         return final
     return TryAnother(counts=True, instead=final)
 
 
-def _final(lost: AttemptLost, *, may_have_run: bool) -> GiveUp:
+def _final(attempt: AttemptLost, *, may_have_run: bool) -> GiveUp:
     if not may_have_run:
         status = HTTPStatus.SERVICE_UNAVAILABLE
-        return GiveUp(status, not_run=True, reason=lost.reason)
-    if lost.out_of_time:
+        return GiveUp(status, not_run=True, reason=attempt.reason)
+    if attempt.out_of_time:
         status = HTTPStatus.GATEWAY_TIMEOUT
     else:
         status = HTTPStatus.BAD_GATEWAY
-    return GiveUp(status, not_run=False, reason=lost.reason)
+    return GiveUp(status, not_run=False, reason=attempt.reason)
--- a/linnetwind/call_policy_test.py
+++ b/linnetwind/call_policy_test.py
@@ -1,4 +1,4 @@
-"""Tests of what follows an attempt without an answer."""
+"""Tests of what follows a failed attempt."""
 
 from datetime import timedelta
 
@@ -27,42 +27,44 @@
 
 
 @pytest.mark.parametrize(
-    ('route', 'lost', 'sent_to', 'ran_before', 'expected'),
+    ('route', 'attempt', 'sent_to', 'ran_before', 'expected'),
     [
-        (IDEMPOTENT, BROKEN, 1, False, 'another'),
+        (IDEMPOTENT, BROKEN, 1, False, 'retry'),
         (IDEMPOTENT, BROKEN, 2, False, (502, False)),
         (IDEMPOTENT, LATE, 1, False, (504, False)),
         (IDEMPOTENT, REFUSED, 2, True, (502, False)),
         (IDEMPOTENT, REFUSED, 2, False, (503, True)),
         (RUN_ONCE, BROKEN, 1, False, (502, False)),
         (RUN_ONCE, LATE, 1, False, (504, False)),
-        (RUN_ONCE, REFUSED, 1, False, 'another'),
+        (RUN_ONCE, REFUSED, 1, False, 'retry'),
         (RUN_ONCE, REFUSED, 2, False, (503, True)),
-        (RUN_ONCE, NOT_REACHED, 0, False, 'another'),
+        (RUN_ONCE, NOT_REACHED, 0, False, 'retry'),
         (STREAM, BROKEN, 1, False, (502, False)),
-        (RESUMABLE, BROKEN, 1, False, 'another'),
+        (RESUMABLE, BROKEN, 1, False, 'retry'),
     ],
 )
-def test_what_follows_a_lost_attempt(
-    route, lost, sent_to, ran_before, expected
+def test_what_follows_a_failed_attempt(
+    route, attempt, sent_to, ran_before, expected
 ):
-    progressed = Progressed(sent_to, ran_before, SECOND)
-    decision = after_loss(route, lost, progressed)
-    if expected == 'another':
+    progress = Progressed(sent_to, ran_before, SECOND)
+    decision = after_loss(route, attempt, progress)
+    if expected == 'retry':
         assert isinstance(decision, TryAnother)
     else:
         assert isinstance(decision, GiveUp)
         assert (decision.status, decision.not_run) == expected
 
 
-def test_a_repeat_draws_on_the_budget_only_if_something_was_sent():
+def test_a_retry_spends_budget_only_if_something_was_sent():
     reached = after_loss(IDEMPOTENT, BROKEN, Progressed(1, False, SECOND))
-    missed = after_loss(IDEMPOTENT, NOT_REACHED, Progressed(0, False, SECOND))
+    not_reached = after_loss(
+        IDEMPOTENT, NOT_REACHED, Progressed(0, False, SECOND)
+    )
     assert reached.counts
-    assert not missed.counts
+    assert not not_reached.counts
 
 
-def test_without_time_there_is_no_other_attempt():
-    progressed = Progressed(0, False, timedelta(milliseconds=5))
-    decision = after_loss(IDEMPOTENT, NOT_REACHED, progressed)
+def test_without_remaining_time_there_is_no_retry():
+    progress = Progressed(0, False, timedelta(milliseconds=5))
+    decision = after_loss(IDEMPOTENT, NOT_REACHED, progress)
     assert decision == GiveUp(503, not_run=True, reason='x')
--- a/linnetwind/open_work.py
+++ b/linnetwind/open_work.py
@@ -1,4 +1,4 @@
-"""How many connections and begun requests a daemon serves now."""
+"""Counts the open connections and started requests of a daemon."""
 
 import threading
 from collections.abc import Iterator
@@ -6,31 +6,31 @@
 
 
 class OpenWork:
-    """Counts what is open; may be used from any thread."""
+    """Counts open connections and requests; may be used from any thread."""
 
     def __init__(self) -> None:
-        """Start with nothing open."""
+        """Start with no connections or requests."""
         self._lock = threading.Lock()
         self._connections = 0
         self._requests = 0
 
     @property
     def connections(self) -> int:
-        """Return the connections from callers, idle ones included."""
+        """Return the number of connections from callers, idle ones included."""
         return self._connections
 
     @property
     def requests(self) -> int:
-        """Return the requests that were begun and have no whole answer yet.
+        """Return the number of started requests without a complete response.
 
-        One that is refused was not begun: callers that came back at once to a
-        stopping daemon were taken for requests that it had cut.
+        Refused requests are not counted. Otherwise callers that retry at once
+        at a stopping daemon look like requests that the daemon has cut.
         """
         return self._requests
 
     @contextmanager
     def connection(self) -> Iterator[None]:
-        """Count a connection while it is served."""
+        """Count a connection while it is open."""
         with self._lock:
             self._connections += 1
         try:
@@ -41,7 +41,7 @@
 
     @contextmanager
     def request(self) -> Iterator[None]:
-        """Count a request until it is answered."""
+        """Count a request until its response is complete."""
         with self._lock:
             self._requests += 1
         try:
--- a/linnetwind/repeat_budget.py
+++ b/linnetwind/repeat_budget.py
@@ -1,10 +1,11 @@
-"""How many requests may be sent to a second upstream.
-
-All daemons share one budget for each service: in any window the repeats may
-be a fraction of the requests plus a fixed allowance. Without a limit, a
-service that fails is sent twice its load just then. Each daemon uses its own
-requests and its part of the allowance, so that no messages are needed and the
-sum stays within the shared budget whatever the daemons know of each other.
+"""A budget of retries for each service, shared by all daemons.
+
+A retry sends a request to another upstream. In any time window the retries of
+all daemons may be a fraction of the requests plus a fixed allowance. Without a
+budget, a failing service would get twice its load just when it fails. Each
+daemon uses its own requests and its part of the allowance. This needs no
+messages, and the sum stays within the shared budget whatever the daemons know
+of each other.
 """
 
 import threading
@@ -14,100 +15,106 @@
 
 from linnetwind.clock import Clock
 
-# The part of the budget that is used: a repeat is counted at the upstream,
-# a little later than here, and the windows do not begin together.
-SAFETY = 0.7
+# The fraction of the budget that is used. Upstreams count a retry a little
+# later than the daemon that sends it, and their windows start at other times.
+SAFETY_FACTOR = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetTerms:
-    """The shared budget: its window, the fraction and the allowance."""
+    """The terms of the shared budget.
+
+    Within `window`, the retries of all daemons may be `ratio` times their
+    requests plus `allowance`.
+    """
 
     window: timedelta
     ratio: float
     allowance: float
 
 
-class RepeatBudget:
-    """The repeats that this daemon may still send to one service."""
+class WindowedRetryBudget:
+    """The retries that this daemon may still send to one service."""
 
     def __init__(self, terms: BudgetTerms) -> None:
-        """Start with the whole of this daemon's part.
+        """Start with nothing spent.
 
         Args:
-          terms: The shared budget.
+          terms: The terms of the shared budget.
         """
         self._terms = terms
         self._requests: deque[timedelta] = deque()
-        self._repeats: deque[timedelta] = deque()
+        self._retries: deque[timedelta] = deque()
 
     def count_request(self, now: timedelta) -> None:
-        """Take note of a caller's request.
+        """Count a caller's request.
 
         Args:
           now: The monotonic time.
         """
         self._requests.append(now)
-        self._forget(now)
+        self._expire(now)
 
     def demand(self, now: timedelta) -> float:
-        """Return the callers' requests a second within the window.
+        """Return the mean rate of callers' requests in the window.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          Their number over the window's length.
+          The requests a second.
         """
-        self._forget(now)
+        self._expire(now)
         return len(self._requests) / self._terms.window.total_seconds()
 
     def spend(self, now: timedelta, daemons: int) -> bool:
-        """Take a repeat from the budget.
+        """Spend one retry if the budget allows it.
 
         Args:
           now: The monotonic time.
           daemons: How many daemons share the allowance.
 
         Returns:
-          Whether there was one left.
+          Whether the retry may be sent.
         """
-        self._forget(now)
-        own = self._terms.allowance / max(1, daemons)
-        limit = SAFETY * (self._terms.ratio * len(self._requests) + own)
-        if len(self._repeats) + 1 > limit:
+        self._expire(now)
+        own_allowance = self._terms.allowance / max(1, daemons)
+        limit = SAFETY_FACTOR * (
+            self._terms.ratio * len(self._requests) + own_allowance
+        )
+        if len(self._retries) + 1 > limit:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: timedelta) -> None:
+    def _expire(self, now: timedelta) -> None:
         start = now - self._terms.window
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < start:
                 times.popleft()
 
 
 class SharedRepeats:
-    """This daemon's budgets for all services; for any thread."""
+    """This daemon's budgets for all services; may be used from any thread."""
 
     def __init__(self, terms: BudgetTerms, clock: Clock) -> None:
         """Start as the only daemon.
 
         Args:
-          terms: The budget that all daemons share, for each service.
-          clock: For the window.
+          terms: The terms of the shared budget of each service.
+          clock: For the windows.
         """
         self._terms = terms
         self._clock = clock
         self._lock = threading.Lock()
         self._daemons = 1
-        self._budgets: dict[str, RepeatBudget] = {}
+        self._budgets: dict[str, WindowedRetryBudget] = {}
 
     def share_among(self, daemons: int) -> None:
-        """Take note of how many daemons share the allowance.
+        """Set how many daemons share the allowance.
 
         Args:
-          daemons: Their number, this one included.
+          daemons: The number of daemons, this one included.
         """
         self._daemons = daemons
 
@@ -115,13 +122,13 @@
         """Count a caller's request.
 
         Args:
-          service: The service that it goes to.
+          service: The service that is called.
         """
         with self._lock:
             self._budget(service).count_request(self._clock.elapsed())
 
     def demand(self, service: str) -> float:
-        """Return the requests a second that callers send for a service.
+        """Return the rate of callers' requests for a service.
 
         Args:
           service: The service.
@@ -133,17 +140,19 @@
             return self._budget(service).demand(self._clock.elapsed())
 
     def spend(self, service: str) -> bool:
-        """Take a repeat.
+        """Spend one retry if the budget of a service allows it.
 
         Args:
-          service: The service that gets the repeat.
+          service: The service that is called again.
 
         Returns:
-          Whether there was one left.
+          Whether the retry may be sent.
         """
         now = self._clock.elapsed()
         with self._lock:
             return self._budget(service).spend(now, self._daemons)
 
-    def _budget(self, service: str) -> RepeatBudget:
-        return self._budgets.setdefault(service, RepeatBudget(self._terms))
+    def _budget(self, service: str) -> WindowedRetryBudget:
+        return self._budgets.setdefault(
+            service, WindowedRetryBudget(self._terms)
+        )
--- a/linnetwind/run_times.py
+++ b/linnetwind/run_times.py
@@ -1,4 +1,4 @@
-"""How long streams of a service take, from those that ended lately."""
+"""Estimates how long a stream takes, from recent streams of its service."""
 
 import threading
 from collections import deque
@@ -7,70 +7,76 @@
 
 from linnetwind.call_types import TokenCounts
 
-# The streams that count for the length of the next one.
-_RUNS = 32
-# The next one may run while more others do, and map changes may hold it. With
-# 1.3 one stream ended 0.17 s before the cut.
+# The number of recent streams that the estimate uses.
+_MAX_SAMPLES = 32
+# More streams may run beside the next one, and changes of the expert map may
+# hold it. With 1.3, a stream ended just 0.17 s before it would have been cut.
 _MARGIN = 1.5
-# Until the first event: a wait in line, then the pass that reads the prompt.
+# The time to the first event: the wait in the queue and the pass that reads the
+# prompt.
 _START_MS = 400
 _START = timedelta(milliseconds=_START_MS)
 
 
-def longest_run(
-    paces: Iterable[timedelta], tokens: TokenCounts
+def max_stream_duration(
+    token_times: Iterable[timedelta], tokens: TokenCounts
 ) -> timedelta | None:
-    """Return how long a stream lasts, with a margin.
+    """Return how long a stream takes at most, with a margin.
 
     Args:
-      paces: The time for each token that an answer could have, of streams
-        that ended lately.
+      token_times: The time per token of recent streams, each computed with
+        the largest number of tokens that its response could have.
       tokens: The tokens of the stream.
 
     Returns:
-      The time by the slowest of them, or None if there are none.
+      The time at the slowest token time, None if there are no recent streams.
     """
-    slowest = max(paces, default=None)
+    slowest = max(token_times, default=None)
     if slowest is None:
         return None
     return _START + slowest * tokens.answer * _MARGIN
 
 
 class RunTimes:
-    """The paces of the streams of all services; for any thread."""
+    """The time per token of recent streams, by service.
+
+    May be used from any thread.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing measured."""
+        """Start without recent streams."""
         self._lock = threading.Lock()
-        self._paces: dict[str, deque[timedelta]] = {}
+        self._token_times: dict[str, deque[timedelta]] = {}
 
     def note(self, service: str, tokens: TokenCounts, took: timedelta) -> None:
-        """Take note of a stream that has ended.
+        """Record a stream that has ended.
 
         Args:
-          service: Its service.
-          tokens: Its tokens.
-          took: How long it took from its first event to its last.
+          service: The stream's service.
+          tokens: The stream's tokens.
+          took: The time from its first to its last event.
         """
-        pace = took / max(1, tokens.answer)
+        token_time = took / max(1, tokens.answer)
         with self._lock:
-            paces = self._paces.setdefault(service, deque(maxlen=_RUNS))
-            paces.append(pace)
+            recent = self._token_times.setdefault(
+                service, deque(maxlen=_MAX_SAMPLES)
+            )
+            recent.append(token_time)
 
     def expect(
         self, service: str, tokens: TokenCounts | None
     ) -> timedelta | None:
-        """Return how long a stream lasts at most, as far as is known.
+        """Return how long a stream is expected to take at most.
 
         Args:
-          service: Its service.
-          tokens: Its tokens, if its caller told them.
+          service: The stream's service.
+          tokens: The stream's tokens, None if the caller did not state them.
 
         Returns:
-          The time, or None if nothing is known.
+          The time, None if there is no estimate.
         """
         if tokens is None:
             return None
         with self._lock:
-            paces = tuple(self._paces.get(service, ()))
-        return longest_run(paces, tokens)
+            recent = tuple(self._token_times.get(service, ()))
+        return max_stream_duration(recent, tokens)
--- a/linnetwind/run_times_test.py
+++ b/linnetwind/run_times_test.py
@@ -1,14 +1,14 @@
-"""Tests of how long streams are expected to last."""
+"""Tests of the estimate of how long a stream takes."""
 
 from datetime import timedelta
 
 from linnetwind.call_types import TokenCounts
-from linnetwind.run_times import RunTimes, longest_run
+from linnetwind.run_times import RunTimes, max_stream_duration
 
 SECOND = timedelta(seconds=1)
 
 
-def test_nothing_is_known_before_a_stream_has_ended():
+def test_there_is_no_estimate_before_a_stream_has_ended():
     runs = RunTimes()
     assert runs.expect('a', TokenCounts(10, 100)) is None
     runs.note('a', TokenCounts(10, 100), SECOND)
@@ -16,7 +16,7 @@
     assert runs.expect('a', None) is None
 
 
-def test_the_slowest_of_the_last_decides_with_a_margin():
+def test_the_slowest_recent_stream_decides_with_a_margin():
     runs = RunTimes()
     runs.note('a', TokenCounts(10, 100), 2 * SECOND)
     for _run in range(20):
@@ -27,9 +27,10 @@
     assert runs.expect('a', TokenCounts(10, 100)) < 2 * SECOND
 
 
-def test_twice_the_tokens_take_twice_the_time():
-    paces = (timedelta(milliseconds=10),)
+def test_the_time_grows_linearly_with_the_tokens():
+    token_times = (timedelta(milliseconds=10),)
     one, two, three = (
-        longest_run(paces, TokenCounts(10, 100 * times)) for times in (1, 2, 3)
+        max_stream_duration(token_times, TokenCounts(10, 100 * times))
+        for times in (1, 2, 3)
     )
     assert three - two == two - one
--- a/linnetwind/upstream_claim.py
+++ b/linnetwind/upstream_claim.py
@@ -6,9 +6,10 @@
 from linnetwind.journey import GatewayTools, Journey
 from linnetwind.upstream_list import Upstream
 
-# How soon a caller may retry if no upstream accepts the request.
-_RETRY_SOON_MS = 400
-RETRY_SOON = timedelta(milliseconds=_RETRY_SOON_MS)
+# The shortest time after which a caller is told to retry a request that no
+# upstream accepts.
+_MIN_RETRY_DELAY_MS = 400
+RETRY_SOON = timedelta(milliseconds=_MIN_RETRY_DELAY_MS)
 
 
 def claim_upstream(tools: GatewayTools, journey: Journey) -> Upstream | None:
