--- a/linnetwind/backpressure.py
+++ b/linnetwind/backpressure.py
@@ -1,7 +1,7 @@
-"""Remembers what an upstream's answer says of the requests that it takes.
+"""Records the backpressure that an upstream states in its responses.
 
-What an answer says of its upstream holds for all requests that come after it,
-so that it must not end with the request that met it.
+A limit, a backoff or an announced leave holds for all later requests, so it is
+recorded in the gateway's state and not with the request that got the response.
 """
 
 from linnetwind.call_types import AnswerFacts
@@ -16,30 +16,31 @@
     upstream: Upstream,
     answer: AnswerFacts,
 ) -> None:
-    """Take note of an upstream's limit, of a backoff, and that it leaves.
+    """Record the limit, backoff and announced leave of an upstream.
 
     Args:
       tools: What every request needs.
-      journey: The request that was answered.
-      upstream: Who was asked. An answer of another one says nothing of it.
-      answer: What the answer's head says.
+      journey: The request that got the response.
+      upstream: The upstream that was called. A response of another instance
+        says nothing about it and is ignored.
+      answer: The facts in the head of the response.
     """
     if answer.misdirected:
         return
-    _note_limit(tools, journey, upstream, answer.most_per_s)
+    _record_limit(tools, journey, upstream, answer.most_per_s)
     if answer.backoff is not None:
-        _note_backoff(tools, journey, upstream, answer)
+        _record_backoff(tools, journey, upstream, answer)
     if answer.leaving:
-        _note_leaving(tools, journey, upstream)
+        _record_leaving(tools, journey, upstream)
 
 
-def _note_limit(
+def _record_limit(
     tools: GatewayTools,
     journey: Journey,
     upstream: Upstream,
     most_per_s: float | None,
 ) -> None:
-    if not tools.state.books.limits.note(upstream, most_per_s):
+    if not tools.state.books.limits.record_limit(upstream, most_per_s):
         return
     tools.tell_peers()
     tools.log.event(
@@ -47,13 +48,15 @@
     )
 
 
-def _note_backoff(
+def _record_backoff(
     tools: GatewayTools,
     journey: Journey,
     upstream: Upstream,
     answer: AnswerFacts,
 ) -> None:
-    before = tools.state.books.backoffs.note(upstream.life, answer.backoff)
+    before = tools.state.books.backoffs.record_backoff(
+        upstream.life, answer.backoff
+    )
     now = tools.clock.elapsed()
     tools.log.event(
         BackoffAsked(
@@ -61,16 +64,16 @@
             upstream.life,
             answer.backoff,
             now - journey.request.received,
-            None if before is None else now - before.asked_at,
+            None if before is None else now - before.requested_at,
             None if before is None else before.until - now,
         )
     )
 
 
-def _note_leaving(
+def _record_leaving(
     tools: GatewayTools, journey: Journey, upstream: Upstream
 ) -> None:
     if upstream.life in tools.state.upstreams.leaving:
         return
-    tools.state.change_upstreams(lambda known: known.note_leaving(upstream))
+    tools.state.change_upstreams(lambda known: known.record_leaving(upstream))
     tools.log.event(UpstreamLeaves(journey.facts.call_id, upstream.life))
