--- a/linnetwind/answer.py
+++ b/linnetwind/answer.py
@@ -61,7 +61,7 @@
     DONE = enum.auto()
 
 
-class AnswerAssembler:
+class ResponseAssembler:
     """The state of one call's answer."""
 
     def __init__(self) -> None:
--- a/linnetwind/answer_relay.py
+++ b/linnetwind/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes an upstream's answer on to the caller: whole, or event by event."""
+"""Relays an upstream's response to the caller, whole or event by event."""
 
 from datetime import timedelta
 
@@ -10,111 +10,114 @@
     Done,
     GatewayTools,
     Journey,
-    answer_caller,
-    as_lost,
-    with_close,
+    as_failed_attempt,
+    respond_to_caller,
+    with_connection_close,
 )
 from linnetwind.routes import RouteKind
 from linnetwind.upstream_call import (
+    BodyChunk,
     Broken,
-    CallerLeft,
+    CallerDisconnected,
     End,
     Head,
-    OutOfTime,
-    Piece,
+    TimedOut,
     UpstreamCall,
-    read_whole,
+    read_body_up_to,
 )
 
-# Answers up to this size are read whole before any of it goes on, so that
-# one that breaks off can be replaced. Larger ones are passed on as they come.
+# Responses up to this size are read completely before the caller receives any
+# of them, so that another upstream can replace one that breaks off. Larger
+# responses are relayed as they arrive.
 BUFFERED_BYTES = 262_144
 _FIRST_SUCCESS = 200
 _FIRST_REDIRECT = 300
 _FIRST_FAILURE = 500
 
 
-class AnswerRelay:
-    """Passes on the answer of one upstream call."""
+class ResponseRelay:
+    """Relays the response of one upstream call."""
 
     def __init__(
         self,
         tools: GatewayTools,
         connection: CallerConnection,
-        journey: Journey,
+        context: Journey,
         call: UpstreamCall,
         head: Head,
     ) -> None:
-        """Take a call whose head was read and is an answer to the request.
+        """Prepare to relay a response whose head belongs to the request.
 
         Args:
-          tools: What every request needs.
+          tools: The shared services.
           connection: The caller's connection.
-          journey: The request; kept up to date.
-          call: The call.
-          head: The head.
+          context: The request's state, which the relay updates.
+          call: The upstream call, from which the body is read.
+          head: The head of the response.
         """
         self._tools = tools
         self._connection = connection
-        self._journey = journey
+        self._context = context
         self._call = call
         self._head = head
         self._headers = tools.dialect.answer_headers(head.headers)
 
     def run(self) -> Done | AttemptLost:
-        """Pass the answer on.
+        """Relay the response.
 
         Returns:
-          How the request ended, or why this answer is not whole.
+          The result of the request, or why this response is not complete.
         """
-        is_stream = self._journey.route.kind is RouteKind.STREAM
+        is_stream = self._context.route.kind is RouteKind.STREAM
         success = _FIRST_SUCCESS <= self._head.status < _FIRST_REDIRECT
         if is_stream and success:
-            return self._stream()
-        if self._journey.started:
-            # The caller has a part of another run's answer, and this one can
-            # neither be joined to it nor replace it.
-            return _failed(self._head.status)
-        return self._whole()
-
-    def _whole(self) -> Done | AttemptLost:
-        found = read_whole(self._call, BUFFERED_BYTES, self._journey.until)
-        if not isinstance(found, tuple):
-            return as_lost(found)
-        body, whole = found
+            return self._relay_stream()
+        if self._context.response_started:
+            # The caller already received part of another attempt's response.
+            # This one can neither continue nor replace that part.
+            return _upstream_failure(self._head.status)
+        return self._relay_whole()
+
+    def _relay_whole(self) -> Done | AttemptLost:
+        result = read_body_up_to(
+            self._call, BUFFERED_BYTES, self._context.until
+        )
+        if not isinstance(result, tuple):
+            return as_failed_attempt(result)
+        body, whole = result
         status = self._head.status
-        if whole and status >= _FIRST_FAILURE and self._may_repeat():
-            self._journey.failure = (self._head, body)
-            return _failed(status)
-        self._journey.first_byte = self._tools.clock.elapsed()
+        if whole and status >= _FIRST_FAILURE and self._may_retry():
+            self._context.failure = (self._head, body)
+            return _upstream_failure(status)
+        self._context.first_byte = self._tools.clock.elapsed()
         if not whole:
-            return self._pass_on(body)
-        answer_caller(
+            return self._relay_unbuffered(body)
+        respond_to_caller(
             self._tools, self._connection, status, self._headers, body
         )
         return Done('answered', status)
 
-    def _may_repeat(self) -> bool:
-        """Return whether a failure may be replaced by another upstream's."""
-        route = self._journey.route
-        left = self._journey.until - self._tools.clock.elapsed()
+    def _may_retry(self) -> bool:
+        """Return whether another upstream may replace an error response."""
+        route = self._context.route
+        left = self._context.until - self._tools.clock.elapsed()
         return (
             route.kind is RouteKind.IDEMPOTENT
-            and len(self._journey.sent_to) < route.max_attempts
+            and len(self._context.sent_to) < route.max_attempts
             and left > timedelta()
         )
 
-    def _pass_on(self, body: bytes) -> Done:
-        """Pass on an answer that is too long to be kept."""
-        self._journey.started = True
+    def _relay_unbuffered(self, body: bytes) -> Done:
+        """Relay a response that is too large to buffer."""
+        self._context.response_started = True
         sent = self._connection.start(
-            self._head.status, with_close(self._tools, self._headers)
+            self._head.status, with_connection_close(self._tools, self._headers)
         )
         sent = sent and self._connection.send(body)
         while sent:
-            progress = self._call.next(self._journey.until)
+            progress = self._call.next(self._context.until)
             match progress:
-                case Piece(content):
+                case BodyChunk(content):
                     sent = self._connection.send(content)
                 case End():
                     self._connection.finish()
@@ -124,87 +127,90 @@
                     return Done('cut', 0, 'the answer broke off')
         return CALLER_LEFT
 
-    def _stream(self) -> Done | AttemptLost:
+    def _relay_stream(self) -> Done | AttemptLost:
         splitter = EventSplitter()
-        ended: Done | AttemptLost | None = None
-        while ended is None:
-            progress = self._call.next(self._journey.until)
+        outcome: Done | AttemptLost | None = None
+        while outcome is None:
+            progress = self._call.next(self._context.until)
             match progress:
-                case Piece(content):
+                case BodyChunk(content):
                     splitter, events = splitter.feed(content)
-                    ended = self._pass_events(events)
+                    outcome = self._relay_events(events)
                 case End():
-                    ended = self._end_stream(splitter)
-                case Broken() | OutOfTime() | CallerLeft():
-                    ended = as_lost(progress)
-        return ended
-
-    def _pass_events(self, events: list[StreamEvent]) -> Done | None:
-        """Pass on events that the caller does not have yet."""
-        last = self._journey.last_event
-        fresh = [each for each in events if _is_new(each, last)]
-        if not fresh:
+                    outcome = self._end_stream(splitter)
+                case Broken() | TimedOut() | CallerDisconnected():
+                    outcome = as_failed_attempt(progress)
+        return outcome
+
+    def _relay_events(self, events: list[StreamEvent]) -> Done | None:
+        """Relay the events that the caller has not received yet."""
+        last = self._context.last_event_id
+        undelivered = [each for each in events if _is_undelivered(each, last)]
+        if not undelivered:
             return None
         if not self._start_stream():
             return CALLER_LEFT
-        self._note_pause()
-        self._journey.events += len(fresh)
-        numbers = [each.number for each in fresh if each.number is not None]
-        self._journey.last_event = max(numbers, default=last)
-        content = b''.join(each.content for each in fresh)
+        self._record_pause()
+        self._context.events += len(undelivered)
+        numbers = [
+            each.number for each in undelivered if each.number is not None
+        ]
+        self._context.last_event_id = max(numbers, default=last)
+        content = b''.join(each.content for each in undelivered)
         return None if self._connection.send(content) else CALLER_LEFT
 
     def _start_stream(self) -> bool:
-        """Write the head, unless a run before this one has written it."""
-        if self._journey.started:
+        """Write the head unless an earlier attempt has written it."""
+        if self._context.response_started:
             return True
-        self._journey.started = True
+        self._context.response_started = True
         now = self._tools.clock.elapsed()
-        self._journey.first_byte = now
-        received = self._journey.request.received
+        self._context.first_byte = now
+        received = self._context.request.received
         self._tools.state.room.note_start(
-            self._journey.service.name, now - received - self._journey.queued
+            self._context.service.name, now - received - self._context.queued
         )
-        headers = with_close(self._tools, self._headers)
+        headers = with_connection_close(self._tools, self._headers)
         return self._connection.start(self._head.status, headers)
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now = self._tools.clock.elapsed()
-        before = self._journey.last_event_at
-        self._journey.last_event_at = now
+        before = self._context.last_event_at
+        self._context.last_event_at = now
         if before is None:
             return
         pause = now - before
-        longest = max(self._journey.longest_pause, pause)
-        self._journey.longest_pause = longest
-        self._tools.state.note_pause(self._journey.at, pause)
+        longest = max(self._context.longest_pause, pause)
+        self._context.longest_pause = longest
+        self._tools.state.note_pause(self._context.current_upstream, pause)
 
-    def _note_run(self) -> None:
-        journey = self._journey
-        if journey.facts.tokens is None or journey.first_byte is None:
+    def _record_run(self) -> None:
+        context = self._context
+        if context.facts.tokens is None or context.first_byte is None:
             return
-        took = self._tools.clock.elapsed() - journey.first_byte
-        self._tools.runs.note(journey.service.name, journey.facts.tokens, took)
+        took = self._tools.clock.elapsed() - context.first_byte
+        self._tools.runs.note(context.service.name, context.facts.tokens, took)
 
     def _end_stream(self, splitter: EventSplitter) -> Done | AttemptLost:
-        if splitter.rest:
-            # Passed on as it is, the answer would look complete.
+        if splitter.incomplete:
+            # Finishing the response normally would make it look complete,
+            # although the end of its last event is missing.
             return AttemptLost(
                 'the stream ended within an event',
                 may_have_run=True,
                 reached=True,
             )
         if self._start_stream() and self._connection.finish():
-            self._note_run()
+            self._record_run()
             return Done('answered', self._head.status)
         return CALLER_LEFT
 
 
-def _failed(status: int) -> AttemptLost:
+def _upstream_failure(status: int) -> AttemptLost:
     return AttemptLost(
         f'upstream failed with {status}', may_have_run=True, reached=True
     )
 
 
-def _is_new(event: StreamEvent, last: int | None) -> bool:
+def _is_undelivered(event: StreamEvent, last: int | None) -> bool:
     return event.number is None or last is None or event.number > last
--- a/linnetwind/answer_test.py
+++ b/linnetwind/answer_test.py
@@ -5,12 +5,12 @@
 import pytest
 
 from linnetwind.answer import (
-    AnswerAssembler,
     Body,
     Failed,
     Finished,
     LinkLost,
     Opened,
+    ResponseAssembler,
 )
 from linnetwind.messages import Chunk, End, Head, Lost, Refused
 from linnetwind.outcome import NotRun, Reason, Unknown
@@ -24,7 +24,7 @@
 
 
 def feed(frames):
-    assembler = AnswerAssembler()
+    assembler = ResponseAssembler()
     return [step for frame in frames for step in assembler.accept(frame)]
 
 
--- a/linnetwind/call_run.py
+++ b/linnetwind/call_run.py
@@ -6,12 +6,12 @@
 from datetime import timedelta
 
 from linnetwind.answer import (
-    AnswerAssembler,
     Body,
     Failed,
     Finished,
     Frame,
     Opened,
+    ResponseAssembler,
     Step,
 )
 from linnetwind.clock import Clock
@@ -21,8 +21,8 @@
 from linnetwind.messages import Cancel, Headers
 from linnetwind.outcome import NotRun, Reason, Unknown
 
-FATE_SECONDS = 1.0
-MOST_HELD_BYTES = 65_536
+STATUS_QUERY_SECONDS = 1.0
+MAX_BUFFERED_BYTES = 65_536
 
 # Failures that say something about the upstream's or its host's health.
 _BLAMED = frozenset(
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class CallPlace:
+class SentCall:
     """Where a call is, and until when its caller waits."""
 
     upstream: str
@@ -69,12 +69,12 @@
         self.outcome = outcome
 
 
-class CallRun:
+class InFlightCall:
     """One call under way."""
 
     def __init__(
         self,
-        place: CallPlace,
+        place: SentCall,
         fleet: Fleet,
         links: LinkPool,
         clock: Clock,
@@ -94,8 +94,8 @@
         self._fleet = fleet
         self._links = links
         self._clock = clock
-        self._most_held = 1 if streamed else MOST_HELD_BYTES
-        self._assembler = AnswerAssembler()
+        self._most_held = 1 if streamed else MAX_BUFFERED_BYTES
+        self._assembler = ResponseAssembler()
 
     def open(self) -> OpenAnswer | NotRun | Unknown:
         """Wait until the answer begins, or the call has failed.
@@ -179,7 +179,7 @@
         # start it; one that was restarted meanwhile knows nothing.
         if link is None or link.peer.incarnation != place.link.peer.incarnation:
             return Unknown(reason)
-        fate = link.ask_fate(call_id, FATE_SECONDS)
+        fate = link.ask_fate(call_id, STATUS_QUERY_SECONDS)
         if fate is None or fate.started:
             link.post(Cancel(call_id))
             return Unknown(reason)
--- a/linnetwind/call_run_test.py
+++ b/linnetwind/call_run_test.py
@@ -9,11 +9,11 @@
 
 from linnetwind.answer import LinkLost
 from linnetwind.call_run import (
-    MOST_HELD_BYTES,
+    MAX_BUFFERED_BYTES,
     BrokenAnswer,
-    CallPlace,
-    CallRun,
+    InFlightCall,
     OpenAnswer,
+    SentCall,
 )
 from linnetwind.clock import ManualClock
 from linnetwind.fleet import Fleet
@@ -74,10 +74,10 @@
     for frame in frames:
         stream.frames.put(frame)
     link = FakeLink()
-    place = CallPlace('up', link, stream, timedelta(seconds=0.01))
+    place = SentCall('up', link, stream, timedelta(seconds=0.01))
     fleet = Fleet(clock)
     fleet.call_sent('up', ())
-    return CallRun(place, fleet, FakePool(fresh), clock, streamed=streamed)
+    return InFlightCall(place, fleet, FakePool(fresh), clock, streamed=streamed)
 
 
 FATES = [
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ('streamed', 'size'), [(True, 1), (False, MOST_HELD_BYTES)]
+    ('streamed', 'size'), [(True, 1), (False, MAX_BUFFERED_BYTES)]
 )
 def test_open_answer_that_breaks_raises(streamed, size):
     run = run_of(
--- a/linnetwind/dispatch.py
+++ b/linnetwind/dispatch.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from itertools import count
 
-from linnetwind.call_run import CallPlace, CallRun, OpenAnswer
+from linnetwind.call_run import InFlightCall, OpenAnswer, SentCall
 from linnetwind.clock import Clock
 from linnetwind.decisions import log_decision
 from linnetwind.dispatch_crashes import DispatchCrashes
@@ -20,7 +20,7 @@
     RouteRequest,
     choose,
     choose_home,
-    without,
+    exclude_tried,
 )
 
 _BLOCK_MS = 2.0
@@ -146,7 +146,7 @@
             _BLOCK_MS,
             request.tokens - request.prompt_tokens,
         )
-        fresh = without(candidates, tried)
+        fresh = exclude_tried(candidates, tried)
         identity = request.idempotency
         if identity is None:
             choice = choose(fresh, route, base.routing, self._rng)
@@ -157,7 +157,7 @@
 
     def _start(
         self, request: CheckedRequest, upstream: str, deadline: timedelta
-    ) -> CallRun | NotRun:
+    ) -> InFlightCall | NotRun:
         call = self._make_call(request, upstream, deadline)
         link = self._links.link_to(upstream)
         if link is None:
@@ -169,8 +169,8 @@
             with self._lock:
                 self._fleet.call_ended(upstream, failed=True)
             return NotRun(Reason.UNREACHABLE, _SECOND)
-        return CallRun(
-            CallPlace(upstream, link, started.unwrap(), deadline),
+        return InFlightCall(
+            SentCall(upstream, link, started.unwrap(), deadline),
             self._fleet,
             self._links,
             self._clock,
--- a/linnetwind/event_stream.py
+++ b/linnetwind/event_stream.py
@@ -1,8 +1,8 @@
 """Splits the body of a stream into whole events.
 
-An upstream may stop in the middle of an event. Only whole events are passed
-on, so that another run can go on after the last of them without a piece
-that is missing, doubled or joined from two runs.
+An upstream may stop in the middle of an event. The gateway relays only whole
+events, so that a retry can resume after the last of them. Otherwise part of
+an event could be lost, duplicated or mixed from two attempts.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event as it came; `number` is its id, if that is a number."""
+    """One event, unchanged; `number` is its id, None if not numeric."""
 
     content: bytes
     number: int | None
@@ -21,28 +21,31 @@
 
 @dataclass(frozen=True, slots=True)
 class EventSplitter:
-    """The bytes of an event that is not complete yet."""
+    """Splits a body into events; holds the bytes of an incomplete event."""
 
-    rest: bytes = field(default=b'')
+    incomplete: bytes = field(default=b'')
 
-    def feed(self, piece: bytes) -> tuple['EventSplitter', list[StreamEvent]]:
-        """Take more of the body.
+    def feed(
+        self, received: bytes
+    ) -> tuple['EventSplitter', list[StreamEvent]]:
+        """Add bytes of the body.
 
         Args:
-          piece: The bytes that came.
+          received: The bytes.
 
         Returns:
-          The splitter for what follows, and the events that are complete.
+          The splitter for the bytes that follow, and the events that these
+          bytes completed.
         """
         events = []
-        rest = self.rest + piece
-        end = _event_end(rest)
+        incomplete = self.incomplete + received
+        end = _event_end(incomplete)
         while end:
-            content = rest[:end]
-            events.append(StreamEvent(content, _number(content)))
-            rest = rest[end:]
-            end = _event_end(rest)
-        return EventSplitter(rest), events
+            content = incomplete[:end]
+            events.append(StreamEvent(content, _event_id(content)))
+            incomplete = incomplete[end:]
+            end = _event_end(incomplete)
+        return EventSplitter(incomplete), events
 
 
 def _event_end(body: bytes) -> int:
@@ -51,7 +54,7 @@
     return min(ends, default=0)
 
 
-def _number(content: bytes) -> int | None:
+def _event_id(content: bytes) -> int | None:
     for line in content.splitlines():
         if line.startswith(_ID_FIELD):
             text = line[len(_ID_FIELD) :].strip()
--- a/linnetwind/event_stream_test.py
+++ b/linnetwind/event_stream_test.py
@@ -9,27 +9,27 @@
 
 
 @given(st.lists(st.integers(min_value=1, max_value=9), max_size=30))
-def test_events_are_the_same_however_the_body_is_cut(sizes):
+def test_events_do_not_depend_on_how_the_body_is_chunked(sizes):
     body = b''.join(EVENTS)
     splitter = EventSplitter()
-    found = []
+    collected = []
     for size in [*sizes, len(body)]:
         splitter, events = splitter.feed(body[:size])
         body = body[size:]
-        found.extend(events)
-    assert [each.content for each in found] == EVENTS
-    assert [each.number for each in found] == [1, 2, None]
-    assert splitter.rest == b''
+        collected.extend(events)
+    assert [each.content for each in collected] == EVENTS
+    assert [each.number for each in collected] == [1, 2, None]
+    assert splitter.incomplete == b''
 
 
-def test_an_event_that_is_cut_stays_in_the_rest():
-    # An upstream stops in the middle of an event. Passed on, its first half
-    # would be joined with the answer of the next run.
+def test_an_incomplete_event_is_held_back():
+    # An upstream stops in the middle of an event. If the first half were
+    # relayed, the caller would see it joined to the retry's response.
     splitter, events = EventSplitter().feed(EVENTS[0] + b'id: 2\nda')
     assert [each.number for each in events] == [1]
-    assert splitter.rest == b'id: 2\nda'
+    assert splitter.incomplete == b'id: 2\nda'
 
 
-def test_an_id_that_is_no_number_is_none():
+def test_a_non_numeric_id_is_none():
     _splitter, events = EventSplitter().feed(b'id: x\n\n')
     assert events[0].number is None
--- a/linnetwind/journey.py
+++ b/linnetwind/journey.py
@@ -1,4 +1,4 @@
-"""How far a caller's request is, and what every request needs."""
+"""The state of one caller's request, and the services that all requests use."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -22,28 +22,28 @@
 from linnetwind.step_log import StepLog
 from linnetwind.upstream_call import (
     Broken,
-    CallerLeft,
+    CallerDisconnected,
     CallOpener,
     Head,
-    OutOfTime,
+    TimedOut,
 )
 from linnetwind.upstream_list import Upstream
 
 
-def _tell_nobody() -> None:
-    """Do nothing: a gateway without peers."""
+def _notify_no_peers() -> None:
+    """Do nothing; the default for a gateway without peers."""
 
 
-def _keep_nowhere(request: Fingerprint) -> None:
-    """Do nothing: a gateway without a store."""
+def _store_no_quarantine(request: Fingerprint) -> None:
+    """Do nothing; the default for a gateway without a store."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayTools:
-    """What every request needs.
+    """The daemon's shared services that every request uses.
 
-    `tell_peers` sends them this daemon's state at once, `keep_quarantine` has
-    the store keep that a request is not sent on.
+    `tell_peers` sends this daemon's state to its peers at once.
+    `keep_quarantine` writes a request's quarantine to the store.
     """
 
     state: GatewayState
@@ -54,21 +54,23 @@
     stop: GatewayStop
     runs: RunTimes = field(default_factory=RunTimes)
     open_work: OpenWork = field(default_factory=OpenWork)
-    tell_peers: Callable[[], None] = _tell_nobody
-    keep_quarantine: Callable[[Fingerprint], None] = _keep_nowhere
+    tell_peers: Callable[[], None] = _notify_no_peers
+    keep_quarantine: Callable[[Fingerprint], None] = _store_no_quarantine
 
 
 @dataclass(slots=True)
 class Journey:
-    """How far a request is.
-
-    `until` is the monotonic time of its final answer at the latest. `claimed`
-    is the upstream at which its place is counted already, `at` the one that
-    has it now. `sent_to`
-    are the instances that got it, `tried` those that are not tried again.
-    `last_event` is the id of the last event that the caller has, `started`
-    says that the caller has a part of the answer. `failure` is an upstream's
-    own failure, kept in case no other upstream does better.
+    """The state of a request between its reception and its final response.
+
+    `until` is the monotonic time by which the final response is due.
+    `claimed` is the upstream at which the request is already counted before
+    its first attempt, and `current_upstream` the one that it was sent to last.
+    `sent_to` lists the instances that received the request; `tried` holds
+    those that are excluded from further attempts.
+    `last_event_id` is the id of the last event that the caller received, and
+    `response_started` says that the caller received part of the response.
+    `failure` is an upstream's error response, which goes to the caller if no
+    other upstream gives a better one.
     """
 
     request: CallerRequest
@@ -80,21 +82,21 @@
     service: RoutedService | None = None
     queued: timedelta = timedelta()
     claimed: Upstream | None = None
-    at: Upstream | None = None
+    current_upstream: Upstream | None = None
     sent_to: list[str] = field(default_factory=list)
     tried: set[str] = field(default_factory=set)
     may_have_run: bool = False
     first_byte: timedelta | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
     last_event_at: timedelta | None = None
     longest_pause: timedelta = timedelta()
     events: int = 0
-    started: bool = False
+    response_started: bool = False
     failure: tuple[Head, bytes] | None = None
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return what all tries of this request have in common."""
+        """Return the fingerprint that all retries of this request share."""
         request = self.request
         return fingerprint_request(
             self.customer or '', request.method, request.target, request.body
@@ -103,9 +105,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The request has ended; what the log says of it.
+    """The result of a request, as the log records it.
 
-    `retry_after` is when the caller was told to come back.
+    `retry_after` is the delay in the `Retry-After` header that the caller
+    received, None without that header.
     """
 
     outcome: str
@@ -117,60 +120,64 @@
 CALLER_LEFT = Done('caller left', 0)
 
 
-def as_lost(failure: Broken | OutOfTime | CallerLeft) -> Done | AttemptLost:
-    """Return what a call that ended early means for its request.
+def as_failed_attempt(
+    failure: Broken | TimedOut | CallerDisconnected,
+) -> Done | AttemptLost:
+    """Convert the failure of a call into the result of an attempt.
 
     Args:
       failure: How the call ended.
 
     Returns:
-      That the request has ended, or that the attempt is lost.
+      The end of the request if the caller disconnected, else the failed
+      attempt.
     """
     match failure:
         case Broken(problem):
             return AttemptLost(problem, may_have_run=True, reached=True)
-        case OutOfTime():
+        case TimedOut():
             return AttemptLost(
                 'no answer in time',
                 may_have_run=True,
                 reached=True,
                 out_of_time=True,
             )
-        case CallerLeft():
+        case CallerDisconnected():
             return CALLER_LEFT
 
 
-def answer_caller(
+def respond_to_caller(
     tools: GatewayTools,
     connection: CallerConnection,
     status: int,
     headers: Headers,
     body: bytes = b'',
 ) -> None:
-    """Write a whole answer to the caller.
+    """Write a complete response to the caller.
 
     Args:
-      tools: Says whether the daemon is stopping.
+      tools: The shared services; they say whether the daemon is stopping.
       connection: The caller's connection.
-      status: The status.
-      headers: The headers, without any that frame the body.
+      status: The HTTP status.
+      headers: The headers, without Content-Length and Transfer-Encoding.
       body: The body.
     """
-    connection.answer(status, with_close(tools, headers), body)
+    connection.answer(status, with_connection_close(tools, headers), body)
 
 
-def with_close(tools: GatewayTools, headers: Headers) -> Headers:
-    """Return the headers of an answer, with the word that it is the last.
+def with_connection_close(tools: GatewayTools, headers: Headers) -> Headers:
+    """Add `Connection: close` to a response's headers if the daemon stops.
 
-    Without it on every answer, streams too, callers that keep a connection
-    send requests to a stopping daemon until it ends, and the last is cut.
+    Every response needs it, those of streams too. Otherwise callers that keep
+    a connection alive send requests to the stopping daemon until its process
+    ends, which cuts off the last one.
 
     Args:
-      tools: Says whether the daemon is stopping.
-      headers: The headers.
+      tools: The shared services; they say whether the daemon is stopping.
+      headers: The response's headers.
 
     Returns:
-      The headers, with `Connection: close` if the daemon stops soon.
+      The headers, with `Connection: close` if the daemon is stopping.
     """
     if not tools.stop.is_begun():
         return headers
--- a/linnetwind/relay.py
+++ b/linnetwind/relay.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its head to its final answer."""
+"""Relays one caller's request to upstreams until it has a final response."""
 
 import random
 from datetime import timedelta
@@ -31,9 +31,9 @@
     Done,
     GatewayTools,
     Journey,
-    answer_caller,
+    respond_to_caller,
 )
-from linnetwind.request_report import report_end
+from linnetwind.request_report import log_request_end
 from linnetwind.routes import RouteTable, choose_service
 from linnetwind.stream_gate import STOPPING, TurnAway, bounded_retry
 from linnetwind.upstream_attempt import UpstreamAttempt
@@ -41,14 +41,14 @@
 from linnetwind.upstream_list import Upstream
 from linnetwind.waiting_line import Claim
 
-# The time limit of a caller that names none.
-_USUAL_TIME_LIMIT_S = 30
-USUAL_TIME_LIMIT = timedelta(seconds=_USUAL_TIME_LIMIT_S)
+# The time limit of a request whose headers state none.
+_DEFAULT_TIME_LIMIT_S = 30
+DEFAULT_TIME_LIMIT = timedelta(seconds=_DEFAULT_TIME_LIMIT_S)
 _REFUSED = HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class Relay:
-    """Carries one request to upstreams and the answer back."""
+    """Sends one request to upstreams and the response to the caller."""
 
     def __init__(
         self,
@@ -56,233 +56,245 @@
         connection: CallerConnection,
         request: CallerRequest,
     ) -> None:
-        """Take a request that was read whole.
+        """Prepare to relay a request; nothing is sent yet.
 
         Args:
-          tools: What every request needs.
+          tools: The shared services.
           connection: The caller's connection.
-          request: The request.
+          request: The complete request.
         """
         self._tools = tools
         self._connection = connection
         self._request = request
 
     def run(self) -> bool:
-        """Serve the request.
+        """Process the request and write the response.
 
         Returns:
-          Whether the caller's connection may be used again.
+          Whether the caller's connection may be used for another request.
         """
         table = self._tools.state.table
         if table is None:
-            # Without a configuration nobody can say that a route or key does
-            # not exist, so that 404 or 401 would be false.
-            self._answer(_REFUSED, _retry_after(RETRY_SOON))
+            # Before the first configuration arrives, the daemon cannot know
+            # whether a route or key exists, so 404 or 401 would be wrong.
+            self._respond(_REFUSED, _retry_after(RETRY_SOON))
             return self._connection.reusable
-        journey = self._journey(table)
-        done = self._decide(journey)
-        note_whole_answer(self._tools, journey, done)
-        report_end(self._tools, journey, done)
+        context = self._make_context(table)
+        done = self._authorize(context)
+        note_whole_answer(self._tools, context, done)
+        log_request_end(self._tools, context, done)
         return self._connection.reusable
 
-    def _journey(self, table: RouteTable) -> Journey:
+    def _make_context(self, table: RouteTable) -> Journey:
         facts = self._tools.dialect.read_call(self._request)
-        limit = facts.time_limit or USUAL_TIME_LIMIT
+        limit = facts.time_limit or DEFAULT_TIME_LIMIT
         return Journey(
             self._request, facts, table, self._request.received + limit
         )
 
-    def _decide(self, journey: Journey) -> Done:
-        decision = allow(journey.table, journey.facts)
+    def _authorize(self, context: Journey) -> Done:
+        decision = allow(context.table, context.facts)
         match decision:
             case Denied(status, reason):
-                self._answer(status, ())
+                self._respond(status, ())
                 return Done('denied', status, reason)
             case Allowed(route, customer):
-                journey.route = route
-                journey.customer = customer
+                context.route = route
+                context.customer = customer
                 latest = self._request.received + route.timeout
-                journey.until = min(journey.until, latest)
-                return self._serve(journey)
+                context.until = min(context.until, latest)
+                return self._admit(context)
 
-    def _serve(self, journey: Journey) -> Done:
-        name = choose_service(journey.route, random.random())
-        journey.service = journey.table.services.get(name)
-        if journey.service is None:
-            return self._refuse(journey, 'no such service')
-        left = quarantine_left(self._tools, journey)
-        if left is not None:
-            return self._refuse(journey, QUARANTINED, left)
+    def _admit(self, context: Journey) -> Done:
+        name = choose_service(context.route, random.random())
+        context.service = context.table.services.get(name)
+        if context.service is None:
+            return self._refuse(context, 'no such service')
+        quarantine_remaining = quarantine_left(self._tools, context)
+        if quarantine_remaining is not None:
+            return self._refuse(context, QUARANTINED, quarantine_remaining)
         stop = self._tools.stop
-        if not stop.may_begin(self._ending(journey)):
-            return self._send_away(journey, stop.retry_after())
+        if not stop.may_begin(self._expected_ending(context)):
+            return self._refuse_while_stopping(context, stop.retry_after())
         with self._tools.open_work.request():
-            return self._begin(journey)
+            return self._run_admitted(context)
 
-    def _begin(self, journey: Journey) -> Done:
-        self._tools.state.books.repeats.count_request(journey.service.name)
-        if journey.service.engine is not None:
-            turned = self._wait_for_place(journey)
-            if turned is not None:
-                return turned
-        return self._attempts(journey)
+    def _run_admitted(self, context: Journey) -> Done:
+        self._tools.state.books.repeats.count_request(context.service.name)
+        if context.service.engine is not None:
+            rejection = self._wait_for_admission(context)
+            if rejection is not None:
+                return rejection
+        return self._run_attempts(context)
 
-    def _send_away(self, journey: Journey, after: timedelta) -> Done:
-        """Refuse a request that this daemon has no time for."""
-        if after:
-            # It is late when it comes back, and may wait longer.
-            self._tools.state.books.refusals.refuse(journey.facts.subject)
-        self._answer(_REFUSED, _retry_after(after))
-        return Done('refused', _REFUSED, STOPPING.reason, after)
+    def _refuse_while_stopping(
+        self, context: Journey, retry_delay: timedelta
+    ) -> Done:
+        """Refuse a request that cannot end before this daemon stops."""
+        if retry_delay:
+            # The retry is late in any case and may wait longer in the queue.
+            self._tools.state.books.refusals.refuse(context.facts.subject)
+        self._respond(_REFUSED, _retry_after(retry_delay))
+        return Done('refused', _REFUSED, STOPPING.reason, retry_delay)
 
-    def _ending(self, journey: Journey) -> Ending:
-        """Return when the request ends if it is begun now."""
-        lasts = self._tools.runs.expect(
-            journey.service.name, journey.facts.tokens
+    def _expected_ending(self, context: Journey) -> Ending:
+        """Return when the request would end if it started now."""
+        duration = self._tools.runs.expect(
+            context.service.name, context.facts.tokens
         )
-        if lasts is None:
-            return Ending(journey.until, journey.until)
-        return Ending(journey.until, self._tools.clock.elapsed() + lasts)
+        if duration is None:
+            return Ending(context.until, context.until)
+        return Ending(context.until, self._tools.clock.elapsed() + duration)
 
-    def _wait_for_place(self, journey: Journey) -> Done | None:
-        """Wait in line; return how the request ended if it was turned away."""
-        route, service = journey.route, journey.service
+    def _wait_for_admission(self, context: Journey) -> Done | None:
+        """Wait for admission; return the result if the stream is rejected."""
+        route, service = context.route, context.service
         state = self._tools.state
         claim = Claim(
             self._request.received,
             route.target,
             route.gap,
-            state.books.refusals.is_returning(journey.facts.subject),
+            state.books.refusals.is_returning(context.facts.subject),
         )
-        verdict = state.room.enter(
+        admission = state.room.enter(
             service.name,
             claim,
             lambda gap: state.group_view(service, gap),
             lambda: state.take_upstream(service, frozenset()),
-            lambda: self._tools.stop.has_time(self._ending(journey)),
+            lambda: self._tools.stop.has_time(self._expected_ending(context)),
         )
-        journey.queued = self._tools.clock.elapsed() - self._request.received
-        if not isinstance(verdict, TurnAway):
-            journey.claimed = verdict
+        context.queued = self._tools.clock.elapsed() - self._request.received
+        if not isinstance(admission, TurnAway):
+            context.claimed = admission
             return None
-        if verdict == STOPPING:
-            return self._send_away(journey, self._tools.stop.retry_after())
-        state.books.refusals.refuse(journey.facts.subject)
-        self._answer(_REFUSED, _retry_after(verdict.retry_after))
-        return Done('refused', _REFUSED, verdict.reason, verdict.retry_after)
+        if admission == STOPPING:
+            return self._refuse_while_stopping(
+                context, self._tools.stop.retry_after()
+            )
+        state.books.refusals.refuse(context.facts.subject)
+        self._respond(_REFUSED, _retry_after(admission.retry_after))
+        return Done(
+            'refused', _REFUSED, admission.reason, admission.retry_after
+        )
 
-    def _attempts(self, journey: Journey) -> Done:
-        ended: Done | None = None
-        while ended is None:
-            ended = self._next_attempt(journey)
-        return ended
+    def _run_attempts(self, context: Journey) -> Done:
+        result: Done | None = None
+        while result is None:
+            result = self._run_next_attempt(context)
+        return result
 
-    def _next_attempt(self, journey: Journey) -> Done | None:
-        """Try one upstream; return how the request ended, if it did."""
-        upstream = claim_upstream(self._tools, journey)
+    def _run_next_attempt(self, context: Journey) -> Done | None:
+        """Try one upstream; return the result, None if another is due."""
+        upstream = claim_upstream(self._tools, context)
         if upstream is None:
             return self._refuse(
-                journey, 'no upstream left', next_turn(self._tools, journey)
+                context, 'no upstream left', next_turn(self._tools, context)
             )
         try:
-            ended = self._attempt(journey, upstream)
+            result = self._run_attempt(context, upstream)
         finally:
             self._tools.state.give_back(upstream)
-        if isinstance(ended, Done):
-            return ended
-        return self._after(journey, upstream, ended)
+        if isinstance(result, Done):
+            return result
+        return self._after_failed_attempt(context, upstream, result)
 
-    def _attempt(
-        self, journey: Journey, upstream: Upstream
+    def _run_attempt(
+        self, context: Journey, upstream: Upstream
     ) -> Done | AttemptLost:
-        # It may have been put in quarantine while it waited in line.
-        left = quarantine_left(self._tools, journey)
-        if left is not None:
-            return self._refuse(journey, QUARANTINED, left)
+        # The request may have been quarantined while it was queued.
+        quarantine_remaining = quarantine_left(self._tools, context)
+        if quarantine_remaining is not None:
+            return self._refuse(context, QUARANTINED, quarantine_remaining)
         return UpstreamAttempt(
-            self._tools, self._connection, journey, upstream
+            self._tools, self._connection, context, upstream
         ).run()
 
-    def _after(
-        self, journey: Journey, upstream: Upstream, lost: AttemptLost
+    def _after_failed_attempt(
+        self, context: Journey, upstream: Upstream, failed: AttemptLost
     ) -> Done | None:
-        """Decide what follows a lost attempt; None if another one does."""
-        journey.tried.add(upstream.instance)
-        journey.may_have_run = journey.may_have_run or lost.may_have_run
-        left = journey.until - self._tools.clock.elapsed()
+        """Return the result after a failed attempt, None to try another."""
+        context.tried.add(upstream.instance)
+        context.may_have_run = context.may_have_run or failed.may_have_run
+        time_left = context.until - self._tools.clock.elapsed()
         progressed = Progressed(
-            len(journey.sent_to), journey.may_have_run, left
+            len(context.sent_to), context.may_have_run, time_left
         )
-        decision = after_loss(journey.route, lost, progressed)
-        opens_in = group_opens_in(self._tools, journey)
+        decision = after_loss(context.route, failed, progressed)
+        opens_in = group_opens_in(self._tools, context)
         if isinstance(decision, TryAnother):
-            opens_in = await_open_group(self._tools, self._connection, journey)
+            opens_in = await_open_group(self._tools, self._connection, context)
             if opens_in is not None:
                 decision = decision.instead
-            elif not self._may_try_another(journey, decision):
+            elif not self._may_retry_elsewhere(context, decision):
                 decision = decision.instead
-        again = isinstance(decision, TryAnother)
+        will_retry = isinstance(decision, TryAnother)
         self._tools.log.event(
             AttemptFailed(
-                journey.facts.call_id,
+                context.facts.call_id,
                 upstream.instance,
-                'may have run' if lost.may_have_run else 'not run',
-                lost.reason,
-                journey.events,
-                'another upstream' if again else 'final answer',
+                'may have run' if failed.may_have_run else 'not run',
+                failed.reason,
+                context.events,
+                'another upstream' if will_retry else 'final answer',
             )
         )
         if isinstance(decision, TryAnother):
             return None
         if opens_in is None:
-            return self._give_up(journey, decision)
-        # The caller may wait for the group when it comes back.
-        self._tools.state.books.refusals.refuse(journey.facts.subject)
-        return self._give_up(journey, decision, bounded_retry(opens_in))
+            return self._give_up(context, decision)
+        # The caller's retry may wait until the group opens.
+        self._tools.state.books.refusals.refuse(context.facts.subject)
+        return self._give_up(context, decision, bounded_retry(opens_in))
 
-    def _may_try_another(self, journey: Journey, another: TryAnother) -> bool:
-        if quarantine_left(self._tools, journey) is not None:
+    def _may_retry_elsewhere(self, context: Journey, retry: TryAnother) -> bool:
+        if quarantine_left(self._tools, context) is not None:
             return False
-        repeats = self._tools.state.books.repeats
-        return not another.counts or repeats.spend(journey.service.name)
+        budgets = self._tools.state.books.repeats
+        return not retry.counts or budgets.spend(context.service.name)
 
     def _refuse(
-        self, journey: Journey, reason: str, after: timedelta = RETRY_SOON
+        self, context: Journey, reason: str, retry_delay: timedelta = RETRY_SOON
     ) -> Done:
-        """Give up without an upstream; true to what may have run before."""
-        not_run = not journey.may_have_run
+        """Give up without another upstream.
+
+        The status says "not run" only if no earlier attempt may have run.
+        """
+        not_run = not context.may_have_run
         status = _REFUSED if not_run else HTTPStatus.BAD_GATEWAY
         return self._give_up(
-            journey, GiveUp(status, not_run=not_run, reason=reason), after
+            context, GiveUp(status, not_run=not_run, reason=reason), retry_delay
         )
 
     def _give_up(
         self,
-        journey: Journey,
+        context: Journey,
         decision: GiveUp,
-        after: timedelta = RETRY_SOON,
+        retry_delay: timedelta = RETRY_SOON,
     ) -> Done:
-        if journey.started:
-            # Part of a stream is with the caller: only a connection that
-            # breaks tells it that the rest is missing.
+        if context.response_started:
+            # The caller already received part of the stream. Only a broken
+            # connection shows it that the rest is missing.
             self._connection.close()
             return Done('cut', 0, decision.reason)
-        if journey.failure is not None:
-            # The upstream's own failure says more than one made up here.
-            head, body = journey.failure
+        if context.failure is not None:
+            # The upstream's own error response is more informative than one
+            # generated here.
+            head, body = context.failure
             headers = self._tools.dialect.answer_headers(head.headers)
-            self._answer(head.status, headers, body)
+            self._respond(head.status, headers, body)
             return Done('answered', head.status, decision.reason)
         if not decision.not_run:
-            self._answer(decision.status, ())
+            self._respond(decision.status, ())
             return Done('unknown', decision.status, decision.reason)
-        self._answer(decision.status, _retry_after(after))
-        return Done('refused', decision.status, decision.reason, after)
+        self._respond(decision.status, _retry_after(retry_delay))
+        return Done('refused', decision.status, decision.reason, retry_delay)
 
-    def _answer(self, status: int, headers: Headers, body: bytes = b'') -> None:
-        answer_caller(self._tools, self._connection, status, headers, body)
+    def _respond(
+        self, status: int, headers: Headers, body: bytes = b''
+    ) -> None:
+        respond_to_caller(self._tools, self._connection, status, headers, body)
 
 
-def _retry_after(after: timedelta) -> Headers:
-    seconds = f'{after.total_seconds():.2f}'.encode()
+def _retry_after(retry_delay: timedelta) -> Headers:
+    seconds = f'{retry_delay.total_seconds():.2f}'.encode()
     return ((b'Retry-After', seconds),)
--- a/linnetwind/request_report.py
+++ b/linnetwind/request_report.py
@@ -1,36 +1,36 @@
-"""The log line with which a request ends."""
+"""Logs the end of each request."""
 
 from linnetwind.gateway_events import RequestEnded
 from linnetwind.journey import Done, GatewayTools, Journey
 
 
-def report_end(tools: GatewayTools, journey: Journey, done: Done) -> None:
-    """Log how a request ended, and what decided it.
+def log_request_end(tools: GatewayTools, context: Journey, done: Done) -> None:
+    """Log how a request ended, and for what reason.
 
     Args:
-      tools: What every request needs.
-      journey: The request.
+      tools: The shared services.
+      context: The request's state.
       done: How it ended.
     """
     now = tools.clock.elapsed()
-    received = journey.request.received
-    first = journey.first_byte
-    service = journey.service.name if journey.service else ''
+    received = context.request.received
+    first = context.first_byte
+    service = context.service.name if context.service else ''
     tools.log.event(
         RequestEnded(
-            journey.facts.call_id,
-            journey.fingerprint,
-            journey.route.name if journey.route else '',
+            context.facts.call_id,
+            context.fingerprint,
+            context.route.name if context.route else '',
             done.outcome,
             done.status,
             done.reason,
-            journey.table.version,
-            tuple(journey.sent_to),
-            journey.queued,
+            context.table.version,
+            tuple(context.sent_to),
+            context.queued,
             None if first is None else first - received,
             now - received,
-            journey.until - received,
-            journey.longest_pause,
+            context.until - received,
+            context.longest_pause,
             tools.state.group_running(service),
             done.retry_after,
         )
--- a/linnetwind/routing.py
+++ b/linnetwind/routing.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scored:
+class ScoredCandidate:
     """A candidate's expected time, and its parts, in milliseconds."""
 
     upstream: str
@@ -79,8 +79,8 @@
 
     upstream: str
     reason: str
-    best: Scored
-    passed_over: tuple[Scored, ...]
+    best: ScoredCandidate
+    passed_over: tuple[ScoredCandidate, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
 
 def _score(
     candidate: Candidate, request: RouteRequest, weights: Routing
-) -> Scored:
+) -> ScoredCandidate:
     wait_ms = _wait_ms(candidate)
     hop_ms = _hop_ms(candidate, request, weights)
     hits = min(candidate.cached_blocks, request.blocks)
@@ -155,7 +155,7 @@
     # A step takes as long as the slowest rank of the group, so a straggler
     # shows here before the calls that it slows down have ended.
     decode_ms = request.tokens * candidate.step_ms
-    return Scored(
+    return ScoredCandidate(
         candidate.upstream,
         wait_ms + hop_ms + prefill_ms + decode_ms,
         wait_ms,
@@ -190,7 +190,7 @@
     return weights.remote_region_ms
 
 
-def _reason(best: Scored, sample: Sequence[Candidate]) -> str:
+def _reason(best: ScoredCandidate, sample: Sequence[Candidate]) -> str:
     chosen = next(each for each in sample if each.upstream == best.upstream)
     if len(sample) == 1:
         return 'only candidate'
@@ -224,11 +224,13 @@
             f'{service}/{slot}/{each.upstream}'.encode()
         ),
     )
-    scored = [Scored(each.upstream, 0, 0, 0, 0) for each in reversed(ordered)]
+    scored = [
+        ScoredCandidate(each.upstream, 0, 0, 0, 0) for each in reversed(ordered)
+    ]
     return Choice(scored[0].upstream, f'home of slot {slot}', scored[0], ())
 
 
-def without(
+def exclude_tried(
     candidates: Sequence[Candidate], tried: frozenset[str]
 ) -> list[Candidate]:
     """Leave out the upstreams that were tried, unless all were.
--- a/linnetwind/upstream_attempt.py
+++ b/linnetwind/upstream_attempt.py
@@ -1,129 +1,139 @@
-"""One try of a caller's request at one upstream."""
+"""One attempt to run a caller's request at one upstream."""
 
 from datetime import timedelta
 from http import HTTPStatus
 
-from linnetwind.answer_relay import AnswerRelay
+from linnetwind.answer_relay import ResponseRelay
 from linnetwind.backpressure import note_backpressure
 from linnetwind.call_policy import AttemptLost
 from linnetwind.call_types import AnswerFacts, Forwarding
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.crash_guard import note_if_crashed
-from linnetwind.journey import CALLER_LEFT, Done, GatewayTools, Journey, as_lost
+from linnetwind.journey import (
+    CALLER_LEFT,
+    Done,
+    GatewayTools,
+    Journey,
+    as_failed_attempt,
+)
 from linnetwind.routes import RouteKind
-from linnetwind.upstream_call import Head, NotReached, OutOfTime, UpstreamCall
+from linnetwind.upstream_call import Head, NotReached, TimedOut, UpstreamCall
 from linnetwind.upstream_list import Upstream
 
-# The part of the time that is left after which an idempotent request at a
-# silent upstream is given to another one, if the budget allows.
-_PATIENCE = 0.4
+# The fraction of the remaining time that an idempotent request waits for the
+# head of a response. After it the request goes to another upstream, if the
+# retry budget allows.
+_HEAD_WAIT_FRACTION = 0.4
 
 
 class UpstreamAttempt:
-    """Sends a request to an upstream and passes its answer on."""
+    """Sends a request to an upstream and relays the response."""
 
     def __init__(
         self,
         tools: GatewayTools,
         connection: CallerConnection,
-        journey: Journey,
+        context: Journey,
         upstream: Upstream,
     ) -> None:
-        """Prepare; nothing is sent yet.
+        """Prepare the attempt; nothing is sent yet.
 
         Args:
-          tools: What every request needs.
+          tools: The shared services.
           connection: The caller's connection.
-          journey: The request; kept up to date.
-          upstream: The upstream, at which the request is counted.
+          context: The request's state, which the attempt updates.
+          upstream: The upstream, at which the request is already counted.
         """
         self._tools = tools
         self._connection = connection
-        self._journey = journey
+        self._context = context
         self._upstream = upstream
 
     def run(self) -> Done | AttemptLost:
         """Make the attempt.
 
         Returns:
-          How the request ended, or why there is no whole answer from here.
+          The result of the request, or why this upstream gave no complete
+          response.
         """
         if self._connection.left():
             return CALLER_LEFT
-        began = self._tools.clock.elapsed()
+        sent_at = self._tools.clock.elapsed()
         call = self._tools.open_call(
             self._upstream.address,
             self._connection.fileno,
             self._tools.clock,
-            self._journey.until - began,
+            self._context.until - sent_at,
         )
         if isinstance(call, NotReached):
             self._tools.state.note_miss(self._upstream)
             return AttemptLost(call.problem, may_have_run=False, reached=False)
-        self._journey.sent_to.append(self._upstream.instance)
-        self._journey.at = self._upstream
+        self._context.sent_to.append(self._upstream.instance)
+        self._context.current_upstream = self._upstream
         try:
-            ended = self._exchange(call)
+            result = self._exchange(call)
         finally:
             call.close()
-        self._note_end(call, ended, began)
-        return ended
+        self._record_end(call, result, sent_at)
+        return result
 
-    def _note_end(
-        self, call: UpstreamCall, ended: Done | AttemptLost, began: timedelta
+    def _record_end(
+        self, call: UpstreamCall, result: Done | AttemptLost, sent_at: timedelta
     ) -> None:
-        took = self._tools.clock.elapsed() - began
+        took = self._tools.clock.elapsed() - sent_at
         self._tools.state.note_answer(
-            self._upstream, took, failed=_is_failure(ended)
+            self._upstream, took, failed=_is_failure(result)
         )
         if call.broken is not None:
             note_if_crashed(
-                self._tools, self._journey, self._upstream, call.broken, began
+                self._tools, self._context, self._upstream, call.broken, sent_at
             )
 
     def _exchange(self, call: UpstreamCall) -> Done | AttemptLost:
-        journey = self._journey
+        context = self._context
         now = self._tools.clock.elapsed()
         forwarding = Forwarding(
             self._upstream.instance,
-            journey.customer,
-            journey.until - now,
-            journey.last_event,
+            context.customer,
+            context.until - now,
+            context.last_event_id,
         )
-        headers = self._tools.dialect.write_forward(journey.request, forwarding)
-        failed = call.send(journey.request, headers, journey.until)
-        if failed is not None:
-            return as_lost(failed)
-        head = call.next(self._patience(now))
-        has_time = self._tools.clock.elapsed() < journey.until
-        if isinstance(head, OutOfTime) and has_time:
+        headers = self._tools.dialect.write_forward(context.request, forwarding)
+        send_failure = call.send(context.request, headers, context.until)
+        if send_failure is not None:
+            return as_failed_attempt(send_failure)
+        head = call.next(self._head_deadline(now))
+        has_time = self._tools.clock.elapsed() < context.until
+        if isinstance(head, TimedOut) and has_time:
             return AttemptLost(
                 'silent upstream', may_have_run=True, reached=True
             )
         if not isinstance(head, Head):
-            return as_lost(head)
-        return self._take_head(call, head)
+            return as_failed_attempt(head)
+        return self._handle_head(call, head)
 
-    def _take_head(self, call: UpstreamCall, head: Head) -> Done | AttemptLost:
+    def _handle_head(
+        self, call: UpstreamCall, head: Head
+    ) -> Done | AttemptLost:
         answer = self._tools.dialect.read_answer(head.status, head.headers)
         if answer.not_executed or answer.misdirected:
-            self._note_instance(answer)
-            self._note_backpressure(answer)
+            self._update_instance(answer)
+            self._record_backpressure(answer)
             reason = f'upstream refused with {head.status}'
             return AttemptLost(reason, may_have_run=False, reached=True)
-        if not self._is_ours(answer):
+        if not self._matches_call(answer):
             return AttemptLost(
                 'not an answer to this call', may_have_run=True, reached=True
             )
-        self._note_backpressure(answer)
-        return AnswerRelay(
-            self._tools, self._connection, self._journey, call, head
+        self._record_backpressure(answer)
+        return ResponseRelay(
+            self._tools, self._connection, self._context, call, head
         ).run()
 
-    def _note_backpressure(self, answer: AnswerFacts) -> None:
-        note_backpressure(self._tools, self._journey, self._upstream, answer)
+    def _record_backpressure(self, answer: AnswerFacts) -> None:
+        note_backpressure(self._tools, self._context, self._upstream, answer)
 
-    def _note_instance(self, answer: AnswerFacts) -> None:
+    def _update_instance(self, answer: AnswerFacts) -> None:
         if not answer.misdirected or answer.instance is None:
             return
         if answer.instance != self._upstream.instance:
@@ -131,25 +141,25 @@
                 lambda known: known.replace_instance(self._upstream)
             )
 
-    def _patience(self, now: timedelta) -> timedelta:
-        """Return until when the head of an answer is waited for."""
-        journey = self._journey
-        if journey.route.kind is not RouteKind.IDEMPOTENT:
-            return journey.until
-        if len(journey.sent_to) >= journey.route.max_attempts:
-            return journey.until
-        tried = frozenset((*journey.tried, self._upstream.instance))
-        if not self._tools.state.candidates(journey.service, tried):
-            return journey.until
-        return now + (journey.until - now) * _PATIENCE
+    def _head_deadline(self, now: timedelta) -> timedelta:
+        """Return the monotonic time until which to wait for a response."""
+        context = self._context
+        if context.route.kind is not RouteKind.IDEMPOTENT:
+            return context.until
+        if len(context.sent_to) >= context.route.max_attempts:
+            return context.until
+        tried = frozenset((*context.tried, self._upstream.instance))
+        if not self._tools.state.candidates(context.service, tried):
+            return context.until
+        return now + (context.until - now) * _HEAD_WAIT_FRACTION
 
-    def _is_ours(self, answer: AnswerFacts) -> bool:
-        return answer.signed and answer.call_id == self._journey.facts.call_id
+    def _matches_call(self, answer: AnswerFacts) -> bool:
+        return answer.signed and answer.call_id == self._context.facts.call_id
 
 
-def _is_failure(ended: Done | AttemptLost) -> bool:
-    match ended:
+def _is_failure(result: Done | AttemptLost) -> bool:
+    match result:
         case AttemptLost():
-            return ended.may_have_run
+            return result.may_have_run
         case Done():
-            return ended.status >= HTTPStatus.INTERNAL_SERVER_ERROR
+            return result.status >= HTTPStatus.INTERNAL_SERVER_ERROR
--- a/linnetwind/upstream_call.py
+++ b/linnetwind/upstream_call.py
@@ -23,11 +23,11 @@
 _CONNECT_TIMEOUT_MS = 250
 CONNECT_TIMEOUT = timedelta(milliseconds=_CONNECT_TIMEOUT_MS)
 # A timeout of zero would make the connection non-blocking.
-_LEAST_CONNECT_S = 0.001
+_MIN_CONNECT_TIMEOUT_S = 0.001
 # Unanswered data makes the kernel give up a connection whose other end has
 # vanished without a word.
-_SILENCE = timedelta(seconds=10)
-_CALLER_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=10)
+_HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,12 +45,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutOfTime:
+class TimedOut:
     """Nothing came until the time was over; it may still run."""
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller closed its connection, so the call was cancelled."""
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class BodyChunk:
     """A part of an answer's body."""
 
     content: bytes
@@ -74,8 +74,8 @@
     """The answer is whole."""
 
 
-Failure = NotReached | Broken | OutOfTime | CallerLeft
-Progress = Head | Piece | End | Broken | OutOfTime | CallerLeft
+Failure = NotReached | Broken | TimedOut | CallerDisconnected
+Progress = Head | BodyChunk | End | Broken | TimedOut | CallerDisconnected
 
 
 class UpstreamCall:
@@ -100,7 +100,7 @@
         self._poll = select.poll()
         self._poll.register(sock, select.POLLIN)
         if caller is not None:
-            self._poll.register(caller, _CALLER_LEFT)
+            self._poll.register(caller, _HANGUP_EVENTS)
 
     @property
     def broken(self) -> Broken | None:
@@ -109,7 +109,7 @@
 
     def send(
         self, request: CallerRequest, headers: Headers, until: timedelta
-    ) -> Broken | CallerLeft | OutOfTime | None:
+    ) -> Broken | CallerDisconnected | TimedOut | None:
         """Send the request.
 
         An upstream may answer before it has read a long body; sending ends
@@ -148,7 +148,7 @@
 
     def _send(
         self, request: CallerRequest, headers: Headers, until: timedelta
-    ) -> Broken | CallerLeft | OutOfTime | None:
+    ) -> Broken | CallerDisconnected | TimedOut | None:
         outgoing = self._render(request, headers)
         self._poll.modify(self._sock, select.POLLIN | select.POLLOUT)
         while outgoing:
@@ -171,7 +171,7 @@
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 return Broken(f'not a whole answer: {error}')
-            progress = _as_progress(event)
+            progress = _convert_event(event)
             if progress is not None:
                 return progress
             if event is h11.NEED_DATA:
@@ -196,7 +196,7 @@
 
     def _receive(
         self, until: timedelta
-    ) -> Broken | CallerLeft | OutOfTime | None:
+    ) -> Broken | CallerDisconnected | TimedOut | None:
         ready = self._wait(until)
         if not isinstance(ready, int):
             return ready
@@ -207,22 +207,22 @@
         self._http.receive_data(received)
         return None
 
-    def _wait(self, until: timedelta) -> int | CallerLeft | OutOfTime:
+    def _wait(self, until: timedelta) -> int | CallerDisconnected | TimedOut:
         """Wait for the upstream; return the events of its connection."""
         while True:
             left = until - self._clock.elapsed()
             if left <= timedelta():
-                return OutOfTime()
+                return TimedOut()
             events = dict(self._poll.poll(left / timedelta(milliseconds=1) + 1))
             if self._caller in events:
-                return CallerLeft()
+                return CallerDisconnected()
             ready = events.get(self._sock.fileno())
             if ready is not None:
                 return ready
 
 
 def open_call(
-    address: Address, caller: int | None, clock: Clock, most: timedelta
+    address: Address, caller: int | None, clock: Clock, MOST: timedelta
 ) -> UpstreamCall | NotReached:
     """Connect to an upstream.
 
@@ -235,9 +235,9 @@
     Returns:
       The call, or why there is no connection.
     """
-    limit = min(most, CONNECT_TIMEOUT).total_seconds()
+    limit = min(MOST, CONNECT_TIMEOUT).total_seconds()
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.settimeout(max(limit, _LEAST_CONNECT_S))
+    sock.settimeout(max(limit, _MIN_CONNECT_TIMEOUT_S))
     try:
         _connect(sock, address)
     except OSError as error:
@@ -246,9 +246,9 @@
     return UpstreamCall(sock, caller, clock)
 
 
-def read_whole(
-    call: UpstreamCall, most: int, until: timedelta
-) -> tuple[bytes, bool] | Broken | OutOfTime | CallerLeft:
+def read_body_up_to(
+    call: UpstreamCall, MOST: int, until: timedelta
+) -> tuple[bytes, bool] | Broken | TimedOut | CallerDisconnected:
     """Read a body up to a length.
 
     Args:
@@ -260,14 +260,14 @@
       What was read and whether it is the whole body, or why it broke off.
     """
     body = bytearray()
-    while len(body) <= most:
+    while len(body) <= MOST:
         progress = call.next(until)
         match progress:
-            case Piece(content):
+            case BodyChunk(content):
                 body += content
             case End():
                 return bytes(body), True
-            case Broken() | OutOfTime() | CallerLeft():
+            case Broken() | TimedOut() | CallerDisconnected():
                 return progress
     return bytes(body), False
 
@@ -282,18 +282,18 @@
     sock.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        int(_SILENCE / timedelta(milliseconds=1)),
+        int(_UNACKNOWLEDGED_TIMEOUT / timedelta(milliseconds=1)),
     )
     sock.connect((address.ip, address.port))
     sock.setblocking(False)
 
 
-def _as_progress(event: object) -> Progress | None:
+def _convert_event(event: object) -> Progress | None:
     match event:
         case h11.Response():
             return Head(event.status_code, tuple(event.headers.raw_items()))
         case h11.Data():
-            return Piece(bytes(event.data))
+            return BodyChunk(bytes(event.data))
         case h11.EndOfMessage():
             return End()
         case h11.ConnectionClosed():
