--- a/linnetwind/answer.py
+++ b/linnetwind/answer.py
@@ -1,8 +1,8 @@
-"""Putting one call's answer together from its frames, as a state machine.
+"""Assembles the response of one call from its frames, as a state machine.
 
-Frames may come late, twice or out of order; the caller gets each chunk
-once, in order, and the answer counts as whole only when the end mark and
-all the chunks that it counts have come.
+Frames may arrive late, twice or out of order. The caller receives each chunk
+once and in order. The response is complete only when the end frame and all
+the chunks that it counts have arrived.
 """
 
 import enum
@@ -12,9 +12,9 @@
 from linnetwind.messages import Chunk, End, Head, Headers, Lost, Refused
 from linnetwind.outcome import NotRun, Reason, Unknown
 
-# Chunks kept while an earlier one is missing; beyond it the stream is
-# broken rather than the memory of the entry daemon.
-MAX_HELD_CHUNKS = 1024
+# The limit on chunks that are buffered while an earlier one is missing. Beyond
+# it the call fails, which bounds the memory of the entry daemon.
+MAX_BUFFERED_CHUNKS = 1024
 
 _MS = timedelta(milliseconds=1)
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """The status and headers, to be passed on once."""
+    """The status and headers, which are relayed once."""
 
     status: int
     headers: Headers
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The answer is whole."""
+    """The response is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """There will be no whole answer."""
+    """The response cannot be completed."""
 
     outcome: NotRun | Unknown
 
@@ -62,75 +62,80 @@
 
 
 class ResponseAssembler:
-    """The state of one call's answer."""
+    """The state of one call's response."""
 
     def __init__(self) -> None:
-        """Start with nothing received."""
+        """Start before the first frame."""
         self._phase = _Phase.WAITING
-        self._next = 0
-        self._expected: int | None = None
-        self._held: dict[int, bytes] = {}
+        self._next_seq = 0
+        self._chunk_count: int | None = None
+        self._buffered: dict[int, bytes] = {}
 
     @property
     def done(self) -> bool:
-        """Return whether the answer has finished or failed."""
+        """Return whether the response is complete or has failed."""
         return self._phase is _Phase.DONE
 
     def accept(self, frame: Frame) -> tuple[Step, ...]:
-        """Take the next frame of this call.
+        """Process the next frame of this call.
 
         Args:
-          frame: A frame, in whatever order it arrived.
+          frame: The frame that arrived next, in or out of order.
 
         Returns:
-          What to pass on now.
+          The steps that are ready for the caller now.
         """
         if self.done:
             return ()
         match frame:
             case Head(status=status, headers=headers):
-                return self._open(status, headers)
+                return self._start_response(status, headers)
             case Chunk(seq=seq, body=body):
-                return self._take(seq, body)
+                return self._add_chunk(seq, body)
             case End(chunks=chunks):
-                self._expected = chunks
-                return self._release()
+                self._chunk_count = chunks
+                return self._deliver_in_order()
             case Refused():
-                return self._refused(frame)
+                return self._handle_refusal(frame)
             case Lost(reason=reason):
                 return self._fail(Unknown(reason))
             case LinkLost():
                 return self._fail(Unknown(Reason.CONNECTION_LOST))
 
-    def _open(self, status: int, headers: Headers) -> tuple[Step, ...]:
+    def _start_response(
+        self, status: int, headers: Headers
+    ) -> tuple[Step, ...]:
         if self._phase is not _Phase.WAITING:
             return ()
         self._phase = _Phase.OPEN
-        return (Opened(status, headers), *self._release())
+        return (Opened(status, headers), *self._deliver_in_order())
 
-    def _take(self, seq: int, body: bytes) -> tuple[Step, ...]:
-        if seq >= self._next:
-            self._held[seq] = body
-        if len(self._held) > MAX_HELD_CHUNKS:
+    def _add_chunk(self, seq: int, body: bytes) -> tuple[Step, ...]:
+        if seq >= self._next_seq:
+            self._buffered[seq] = body
+        if len(self._buffered) > MAX_BUFFERED_CHUNKS:
             return self._fail(Unknown(Reason.INCOMPLETE_ANSWER))
-        return self._release()
+        return self._deliver_in_order()
 
-    def _release(self) -> tuple[Step, ...]:
+    def _deliver_in_order(self) -> tuple[Step, ...]:
         if self._phase is not _Phase.OPEN:
             return ()
         steps: list[Step] = []
-        while self._next in self._held:
-            steps.append(Body(self._held.pop(self._next)))
-            self._next += 1
-        if self._expected is not None and self._next >= self._expected:
+        while self._next_seq in self._buffered:
+            steps.append(Body(self._buffered.pop(self._next_seq)))
+            self._next_seq += 1
+        if (
+            self._chunk_count is not None
+            and self._next_seq >= self._chunk_count
+        ):
             self._phase = _Phase.DONE
             steps.append(Finished())
         return tuple(steps)
 
-    def _refused(self, refused: Refused) -> tuple[Step, ...]:
+    def _handle_refusal(self, refused: Refused) -> tuple[Step, ...]:
         if self._phase is _Phase.OPEN:
-            # A refusal after the answer began contradicts itself; "not run"
-            # would be a lie, so the fate counts as unknown.
+            # A refusal after the start of the response is contradictory. The
+            # request may have run, so the outcome is unknown, not "not run".
             return self._fail(Unknown(Reason.INTERNAL))
         wait = refused.retry_after_ms * _MS
         return self._fail(NotRun(refused.reason, wait))
--- a/linnetwind/answer_test.py
+++ b/linnetwind/answer_test.py
@@ -1,4 +1,4 @@
-"""Tests of putting answers together: every order and loss of frames."""
+"""Tests of assembling responses: every order and loss of frames."""
 
 import itertools
 
@@ -29,38 +29,38 @@
 
 
 @pytest.mark.parametrize('order', list(itertools.permutations(range(4))))
-def test_any_order_gives_the_same_answer(order):
+def test_frame_order_does_not_change_the_response(order):
     steps = feed(FRAMES[index] for index in order)
     assert steps == [Opened(200, ()), Body(b'a'), Body(b'b'), Finished()]
 
 
-def test_doubled_frames_are_passed_on_once():
+def test_duplicate_frames_are_relayed_once():
     steps = feed(frame for frame in FRAMES for _copy in range(2))
     assert steps == [Opened(200, ()), Body(b'a'), Body(b'b'), Finished()]
 
 
 @pytest.mark.parametrize('cut', range(4))
-def test_cut_at_any_point_is_never_a_whole_answer(cut):
+def test_a_link_lost_at_any_point_never_completes_the_response(cut):
     steps = feed((*FRAMES[:cut], LinkLost()))
     assert steps[-1] == Failed(Unknown(Reason.CONNECTION_LOST))
     assert Finished() not in steps
 
 
-def test_missing_chunk_keeps_the_answer_open():
+def test_a_missing_chunk_keeps_the_response_open():
     steps = feed((FRAMES[0], FRAMES[2], FRAMES[3]))
     assert steps == [Opened(200, ())]
 
 
-def test_refusal_is_not_run():
+def test_a_refusal_means_not_run():
     (step,) = feed((Refused('c', Reason.OVERLOADED, 250),))
     assert isinstance(step.outcome, NotRun)
 
 
-def test_refusal_after_the_answer_began_is_not_believed():
+def test_a_refusal_after_the_head_does_not_mean_not_run():
     steps = feed((FRAMES[0], Refused('c', Reason.OVERLOADED, 250)))
     assert steps[-1] == Failed(Unknown(Reason.INTERNAL))
 
 
-def test_nothing_follows_the_end():
+def test_frames_after_the_end_are_ignored():
     steps = feed((*FRAMES, Lost('c', Reason.INTERNAL), Chunk('c', 2, b'x')))
     assert steps[-1] == Finished()
--- a/linnetwind/call_run.py
+++ b/linnetwind/call_run.py
@@ -1,4 +1,4 @@
-"""Following one call from its sending to the end of its answer."""
+"""Follows one call from its sending to the end of its response."""
 
 import queue
 from collections.abc import Iterator
@@ -24,8 +24,8 @@
 STATUS_QUERY_SECONDS = 1.0
 MAX_BUFFERED_BYTES = 65_536
 
-# Failures that say something about the upstream's or its host's health.
-_BLAMED = frozenset(
+# Failures that count against the health of the upstream or its host.
+_UPSTREAM_FAULTS = frozenset(
     (
         Reason.CONNECTION_LOST,
         Reason.UPSTREAM_REFUSED,
@@ -33,13 +33,13 @@
         Reason.INCOMPLETE_ANSWER,
     )
 )
-_SHORTEST_WAIT = 0.001
+_MIN_WAIT_S = 0.001
 _SECOND = timedelta(seconds=1)
 
 
 @dataclass(frozen=True)
 class OpenAnswer:
-    """An answer whose head and first part have come."""
+    """A response whose head and first part have arrived."""
 
     status: int
     headers: Headers
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class SentCall:
-    """Where a call is, and until when its caller waits."""
+    """A call that was sent, its link, and its deadline in monotonic time."""
 
     upstream: str
     link: Link
@@ -57,59 +57,60 @@
 
 
 class BrokenAnswer(Exception):  # noqa: N818
-    """The answer broke after its head went out to the caller."""
+    """The response broke off after its head was sent to the caller."""
 
     def __init__(self, outcome: NotRun | Unknown) -> None:
-        """Keep the outcome.
+        """Store the outcome.
 
         Args:
-          outcome: What is known of the request.
+          outcome: The outcome of the request.
         """
         super().__init__(outcome.reason)
         self.outcome = outcome
 
 
 class InFlightCall:
-    """One call under way."""
+    """One call in flight."""
 
     def __init__(
         self,
-        place: SentCall,
+        sent_call: SentCall,
         fleet: Fleet,
         links: LinkPool,
         clock: Clock,
         *,
         streamed: bool,
     ) -> None:
-        """Start following.
+        """Start following a call.
 
         Args:
-          place: Where the call was sent.
-          fleet: Is told of signs of life and of the end.
-          links: Gives a new link when the old one broke.
-          clock: For the deadline.
-          streamed: Whether the caller wants each part as it comes.
+          sent_call: The call, its link and its deadline.
+          fleet: Records when the upstream sent a frame and how calls ended.
+          links: Opens a new link if the call's link is lost.
+          clock: The clock for the deadline.
+          streamed: Whether to relay each part as it arrives.
         """
-        self._place = place
+        self._sent_call = sent_call
         self._fleet = fleet
         self._links = links
         self._clock = clock
-        self._most_held = 1 if streamed else MAX_BUFFERED_BYTES
+        self._min_buffered_bytes = 1 if streamed else MAX_BUFFERED_BYTES
         self._assembler = ResponseAssembler()
 
     def open(self) -> OpenAnswer | NotRun | Unknown:
-        """Wait until the answer begins, or the call has failed.
+        """Wait until the response starts or the call fails.
 
         Returns:
-          The open answer, or the outcome without one.
+          The open response, or the outcome if there is none.
         """
-        # The head of a stream is held until its first part has come, that
-        # of another answer until it is whole or large: until then nothing
-        # went out to the caller, a repeatable request can still be tried
-        # elsewhere, and a failure has a status of its own.
+        # The head of a stream is buffered until its first part has arrived,
+        # that of another response until the response is complete or reaches
+        # MAX_BUFFERED_BYTES. Until then nothing was sent to the caller, so
+        # that a repeatable request can still be retried elsewhere and a
+        # failure can be reported with its own HTTP status.
         opened: Opened | None = None
-        held: list[bytes] = []
-        steps = self._steps()
+        buffered: list[bytes] = []
+        steps = self._read_steps()
         for step in steps:
             match step:
                 case Opened():
@@ -117,83 +118,93 @@
                 case Failed(outcome):
                     return outcome
                 case Body(body):
-                    held.append(body)
-            enough = sum(len(body) for body in held) >= self._most_held
-            if opened is not None and (enough or isinstance(step, Finished)):
-                rest = self._body(held, steps)
-                return OpenAnswer(opened.status, opened.headers, rest)
+                    buffered.append(body)
+            has_enough = (
+                sum(len(body) for body in buffered) >= self._min_buffered_bytes
+            )
+            if opened is not None and (
+                has_enough or isinstance(step, Finished)
+            ):
+                remaining_body = self._body(buffered, steps)
+                return OpenAnswer(opened.status, opened.headers, remaining_body)
         return Unknown(Reason.INTERNAL)
 
     def _body(
-        self, held: list[bytes], steps: Iterator[Step]
+        self, buffered: list[bytes], steps: Iterator[Step]
     ) -> Iterator[bytes]:
         try:
-            yield from held
-            yield from _bodies(steps)
+            yield from buffered
+            yield from _body_parts(steps)
         finally:
             if not self._assembler.done:
-                # The caller has gone away.
-                self._place.link.post(Cancel(self._place.stream.call_id))
-                self._conclude(None)
+                # The caller disconnected.
+                self._sent_call.link.post(
+                    Cancel(self._sent_call.stream.call_id)
+                )
+                self._record_call_end(None)
 
-    def _steps(self) -> Iterator[Step]:
+    def _read_steps(self) -> Iterator[Step]:
         while not self._assembler.done:
             frame = self._next_frame()
             if frame is None:
-                outcome = self._resolve(Reason.DEADLINE)
-                self._conclude(outcome.reason)
+                outcome = self._query_outcome(Reason.DEADLINE)
+                self._record_call_end(outcome.reason)
                 yield Failed(outcome)
                 return
             with self._links.lock:
-                self._fleet.sign_of_life(self._place.upstream)
+                self._fleet.sign_of_life(self._sent_call.upstream)
             for step in self._assembler.accept(frame):
-                yield self._settle(step)
+                yield self._record_failure_or_end(step)
 
-    def _settle(self, step: Step) -> Step:
+    def _record_failure_or_end(self, step: Step) -> Step:
         match step:
             case Failed(Unknown(Reason.CONNECTION_LOST)):
-                outcome = self._resolve(Reason.CONNECTION_LOST)
-                self._conclude(Reason.CONNECTION_LOST)
+                outcome = self._query_outcome(Reason.CONNECTION_LOST)
+                self._record_call_end(Reason.CONNECTION_LOST)
                 return Failed(outcome)
             case Failed(outcome):
-                self._conclude(outcome.reason)
+                self._record_call_end(outcome.reason)
             case Finished():
-                self._conclude(None)
+                self._record_call_end(None)
         return step
 
     def _next_frame(self) -> Frame | None:
-        left = self._place.deadline - self._clock.elapsed()
+        time_left = self._sent_call.deadline - self._clock.elapsed()
         try:
-            return self._place.stream.frames.get(
-                timeout=max(left.total_seconds(), _SHORTEST_WAIT)
+            return self._sent_call.stream.frames.get(
+                timeout=max(time_left.total_seconds(), _MIN_WAIT_S)
             )
         except queue.Empty:
             return None
 
-    def _resolve(self, reason: Reason) -> NotRun | Unknown:
-        """Find out whether a call whose answer is missing has started."""
-        place = self._place
-        call_id = place.stream.call_id
-        link = self._links.fresh_link_to(place.upstream)
-        # Only the very process that took the call can say that it did not
-        # start it; one that was restarted meanwhile knows nothing.
-        if link is None or link.peer.incarnation != place.link.peer.incarnation:
+    def _query_outcome(self, reason: Reason) -> NotRun | Unknown:
+        """Query the side daemon whether a call without a response started."""
+        sent_call = self._sent_call
+        call_id = sent_call.stream.call_id
+        link = self._links.fresh_link_to(sent_call.upstream)
+        # Only the process that received the call can confirm that it did not
+        # start the call. A process that was restarted since then has no
+        # record of it.
+        if (
+            link is None
+            or link.peer.incarnation != sent_call.link.peer.incarnation
+        ):
             return Unknown(reason)
-        fate = link.ask_fate(call_id, STATUS_QUERY_SECONDS)
-        if fate is None or fate.started:
+        call_status = link.ask_fate(call_id, STATUS_QUERY_SECONDS)
+        if call_status is None or call_status.started:
             link.post(Cancel(call_id))
             return Unknown(reason)
         return NotRun(reason, _SECOND)
 
-    def _conclude(self, reason: Reason | None) -> None:
-        self._place.link.forget(self._place.stream.call_id)
+    def _record_call_end(self, reason: Reason | None) -> None:
+        self._sent_call.link.forget(self._sent_call.stream.call_id)
         with self._links.lock:
             self._fleet.call_ended(
-                self._place.upstream, failed=reason in _BLAMED
+                self._sent_call.upstream, failed=reason in _UPSTREAM_FAULTS
             )
 
 
-def _bodies(steps: Iterator[Step]) -> Iterator[bytes]:
+def _body_parts(steps: Iterator[Step]) -> Iterator[bytes]:
     for step in steps:
         match step:
             case Body(body):
--- a/linnetwind/call_run_test.py
+++ b/linnetwind/call_run_test.py
@@ -1,4 +1,4 @@
-"""Tests of following a call: what is said of it when its link breaks."""
+"""Tests of following a call, including its outcome when its link is lost."""
 
 import queue
 import threading
@@ -37,9 +37,9 @@
 
 @dataclass
 class FakeLink:
-    """A link that answers questions about fates from a field."""
+    """A link that returns the call status in its `fate` field."""
 
-    incarnation: str = 'life'
+    incarnation: str = 'first process'
     fate: Fate | None = None
     posted: list = field(default_factory=list)
 
@@ -54,12 +54,12 @@
         self.posted.append(message)
 
     def forget(self, call_id):
-        """Nothing is kept."""
+        """Do nothing; no frames are buffered."""
 
 
 @dataclass
 class FakePool:
-    """Gives the same new link to everybody."""
+    """Returns the same new link for every upstream."""
 
     link: FakeLink | None
     lock: object = field(default_factory=threading.RLock)
@@ -68,45 +68,47 @@
         return self.link
 
 
-def run_of(*frames, fresh=None, streamed=False):
+def run_of(*frames, new_link=None, streamed=False):
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     stream = CallStream('c', queue.SimpleQueue())
     for frame in frames:
         stream.frames.put(frame)
     link = FakeLink()
-    place = SentCall('up', link, stream, timedelta(seconds=0.01))
+    sent_call = SentCall('up', link, stream, timedelta(seconds=0.01))
     fleet = Fleet(clock)
     fleet.call_sent('up', ())
-    return InFlightCall(place, fleet, FakePool(fresh), clock, streamed=streamed)
+    return InFlightCall(
+        sent_call, fleet, FakePool(new_link), clock, streamed=streamed
+    )
 
 
-FATES = [
-    # the new link, what is told
+CALL_STATUS_CASES = [
+    # the new link, the type of the outcome
     (None, Unknown),
-    (FakeLink('life', Fate('c', started=False)), NotRun),
-    (FakeLink('life', Fate('c', started=True)), Unknown),
-    (FakeLink('life', None), Unknown),
-    (FakeLink('another life', Fate('c', started=False)), Unknown),
+    (FakeLink('first process', Fate('c', started=False)), NotRun),
+    (FakeLink('first process', Fate('c', started=True)), Unknown),
+    (FakeLink('first process', None), Unknown),
+    (FakeLink('restarted process', Fate('c', started=False)), Unknown),
 ]
 
 
-@pytest.mark.parametrize('index', range(len(FATES)))
+@pytest.mark.parametrize('index', range(len(CALL_STATUS_CASES)))
 @pytest.mark.parametrize('frames', [(LinkLost(),), ()])
-def test_only_the_same_process_can_say_that_it_did_not_run(index, frames):
-    # The link breaks, or the deadline passes, before any answer. A side
-    # that was restarted knows nothing of the call, so its "not started"
-    # must not count.
-    fresh, told = FATES[index]
-    assert type(run_of(*frames, fresh=fresh).open()) is told
+def test_only_the_same_process_can_confirm_not_run(index, frames):
+    # The link is lost, or the deadline passes, before any response. A side
+    # daemon that was restarted since then has no record of the call, so its
+    # "not started" must not count.
+    new_link, expected = CALL_STATUS_CASES[index]
+    assert type(run_of(*frames, new_link=new_link).open()) is expected
 
 
-def test_whole_answer_is_opened():
+def test_a_complete_response_is_opened():
     run = run_of(Head('c', 201, ()), Chunk('c', 0, b'ok'), End('c', 1))
     opened = run.open()
     assert (opened.status, list(opened.body)) == (201, [b'ok'])
 
 
-def test_small_answer_that_breaks_is_never_opened():
+def test_a_small_response_that_breaks_off_is_not_opened():
     run = run_of(
         Head('c', 200, ()),
         Chunk('c', 0, b'half'),
@@ -118,7 +120,7 @@
 @pytest.mark.parametrize(
     ('streamed', 'size'), [(True, 1), (False, MAX_BUFFERED_BYTES)]
 )
-def test_open_answer_that_breaks_raises(streamed, size):
+def test_an_open_response_that_breaks_off_raises(streamed, size):
     run = run_of(
         Head('c', 200, ()),
         Chunk('c', 0, b'x' * size),
@@ -131,14 +133,14 @@
         list(opened.body)
 
 
-def test_refusal_keeps_its_reason_and_time():
+def test_a_refusal_keeps_its_reason_and_retry_time():
     refused = run_of(Refused('c', Reason.OVERLOADED, 250)).open()
     assert refused == NotRun(Reason.OVERLOADED, timedelta(milliseconds=250))
 
 
-def test_caller_that_goes_away_cancels_the_call():
+def test_a_caller_that_disconnects_cancels_the_call():
     run = run_of(Head('c', 200, ()), Chunk('c', 0, b'x'), streamed=True)
     opened = run.open()
     next(opened.body)
     opened.body.close()
-    assert run._place.link.posted == [Cancel('c')]
+    assert run._sent_call.link.posted == [Cancel('c')]
--- a/linnetwind/call_types.py
+++ b/linnetwind/call_types.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the gateway, as data types."""
+"""Data types of a request and its response as the gateway relays them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request that was read whole; `received` is when its head was."""
+    """A complete request.
+
+    `received` is the monotonic time at which its head was read.
+    """
 
     method: bytes
     target: bytes
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenCounts:
-    """The tokens of a prompt, and the most tokens of its answer."""
+    """The tokens of a prompt, and the maximum number in its answer."""
 
     prompt: int
     answer: int
@@ -29,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFacts:
-    """What a request's headers say, in the project's terms.
+    """The metadata in a request's headers, independent of the header format.
 
-    `call_id` names one try of a caller, `time_limit` is how long the caller
-    will wait, `subject` names the session or subject of a prompt, which a
-    repeat of the request shares.
+    `call_id` identifies one attempt of a caller. `time_limit` is how long the
+    caller will wait, None if it does not say. `subject` names the session or
+    subject of a prompt; a caller's retry of the request has the same one.
     """
 
     call_id: str
@@ -47,10 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Forwarding:
-    """What the gateway itself tells an upstream of a request.
+    """The metadata that the gateway adds to a request for an upstream.
 
-    `customer` is None for an anonymous call; `resume_after` is the id of the
-    last event that the caller has, when a stream is resumed.
+    `customer` is None for an anonymous call. `resume_after` is the id of the
+    last event that the caller received; the upstream resumes the stream after
+    it. It is None if the stream starts from its beginning.
     """
 
     instance: str
@@ -61,15 +65,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What an answer's head says, in the project's terms.
-
-    `signed` says that an upstream made the answer, `not_executed` that it
-    did not run the request, `misdirected` that another instance was expected
-    there; `instance` then names the one that answered. `call_id` is None if
-    the answer names no call. `most_per_s` is how many requests a second the
-    upstream takes from all daemons together, None if it names no limit.
-    `backoff` is for how long it wants nothing more from this daemon, None if it
-    does not say so. `leaving` says that it will end and takes no new work.
+    """The metadata in a response's head, independent of the header format.
+
+    `signed` says that an upstream generated the response, and `not_executed`
+    that it did not run the request. `misdirected` says that the request
+    expected another instance at this address; `instance` then names the one
+    that responded. `call_id` is None if the response names no call.
+    `most_per_s` is the upstream's limit on the requests per second of all
+    daemons together, None if it states no limit. `backoff` is how long it
+    accepts no more requests from this daemon, None if it requests no backoff.
+    `leaving` says that it is shutting down and accepts no new requests.
     """
 
     signed: bool
@@ -83,18 +88,18 @@
 
 
 class Dialect(Protocol):
-    """How requests and answers are written where the gateway runs."""
+    """Translates the header format of the platform that the gateway runs on."""
 
     def read_call(self, request: CallerRequest) -> CallFacts:
-        """Return what a request's headers say."""
+        """Return the metadata in a request's headers."""
 
     def write_forward(
         self, request: CallerRequest, forwarding: Forwarding
     ) -> Headers:
-        """Return the headers with which a request goes to an upstream."""
+        """Return the headers with which a request is sent to an upstream."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what an answer's head says."""
+        """Return the metadata in a response's head."""
 
     def answer_headers(self, headers: Headers) -> Headers:
-        """Return the headers of an answer that go on to the caller."""
+        """Return the headers of a response that are relayed to the caller."""
--- a/linnetwind/caller_connection.py
+++ b/linnetwind/caller_connection.py
@@ -1,7 +1,7 @@
-"""One caller's connection: requests read whole, answers written as they come.
+"""A caller's HTTP connection: reads complete requests and writes responses.
 
-The connection is watched while an upstream works, so that the work can be
-cancelled when the caller leaves. HTTP is parsed by h11.
+While an upstream runs a request, the connection is polled, so that the request
+can be cancelled when the caller disconnects. h11 parses HTTP.
 """
 
 import select
@@ -18,37 +18,38 @@
 from linnetwind.routes import CallerLimits
 
 _READ_BYTES = 65_536
-# A caller that takes nothing for this long is taken as gone; its window is
-# full and the thread that serves it is wanted elsewhere.
+# A caller whose receive window stays full for this long counts as
+# disconnected, because it would block the thread that serves it.
 _SEND_TIMEOUT = timedelta(seconds=5)
-# How often an idle connection looks whether its limits have changed.
-_LOOK_MS = 500
-_LOOK = timedelta(milliseconds=_LOOK_MS)
-# Bytes that the head's limit leaves for the request line.
-_LINE_BYTES = 8_192
-_HEAD_TOO_LONG = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-_BODY_TOO_LONG = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
-_LEFT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+# How often a waiting connection checks whether its limits have changed.
+_LIMITS_CHECK_INTERVAL_MS = 500
+_LIMITS_CHECK_INTERVAL = timedelta(milliseconds=_LIMITS_CHECK_INTERVAL_MS)
+# h11 limits the request line and headers together. This is allowed for the
+# request line in addition to the configured limit for headers.
+_REQUEST_LINE_BYTES = 8_192
+_HEADERS_TOO_LARGE = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+_BODY_TOO_LARGE = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+_HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The connection ended, or stayed idle for too long."""
+    """The caller closed the connection, or left it idle for too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """A request that is refused unread, with the status for the caller."""
+    """An invalid request, with the HTTP status for the caller."""
 
     status: int
     problem: str
 
 
-Reading = CallerRequest | CallerGone | BadRequest
+ReadResult = CallerRequest | CallerGone | BadRequest
 
 
 class CallerConnection:
-    """A connection that a caller opened, for many requests in turn."""
+    """A caller's connection, which carries one request after another."""
 
     def __init__(
         self,
@@ -57,14 +58,15 @@
         is_closing: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        """Take over a connection that was accepted.
+        """Take over an accepted connection.
 
         Args:
           sock: The connection.
-          limits: Returns what a caller may send, and how long it may take; a
-            newer configuration holds for open connections too.
-          is_closing: Whether idle connections are to be closed now.
-          clock: For the limits on time.
+          limits: Returns the limits on a request's size and time. It is called
+            again while a request is read, so that a newer configuration
+            applies to open connections too.
+          is_closing: Returns whether idle connections are to be closed now.
+          clock: The clock for time limits.
         """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(_SEND_TIMEOUT.total_seconds())
@@ -74,95 +76,95 @@
         self._clock = clock
         self._http = h11.Connection(
             h11.SERVER,
-            max_incomplete_event_size=limits().head_bytes + _LINE_BYTES,
+            max_incomplete_event_size=limits().head_bytes + _REQUEST_LINE_BYTES,
         )
-        self._read_any = False
+        self._request_begun = False
 
     @property
     def fileno(self) -> int:
-        """Return the descriptor, for polling."""
+        """Return the file descriptor, for polling."""
         return self._sock.fileno()
 
     @property
     def reusable(self) -> bool:
-        """Return whether another request may follow on the connection."""
+        """Return whether the connection may carry another request."""
         return self._http.our_state is h11.DONE
 
-    def read_request(self) -> Reading:
-        """Wait for the next request and read it whole.
+    def read_request(self) -> ReadResult:
+        """Wait for the next request and read it completely.
 
         Returns:
           The request, or why there is none.
         """
         if self._http.our_state is h11.DONE:
             self._http.start_next_cycle()
-        self._read_any = bool(self._http.trailing_data[0])
+        self._request_begun = bool(self._http.trailing_data[0])
         try:
-            return self._read_whole()
+            return self._read_complete_request()
         except h11.RemoteProtocolError as error:
             return BadRequest(error.error_status_hint, str(error))
         except OSError:
             return CallerGone()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> bool:
-        """Write a whole answer.
+        """Write a complete response.
 
         Args:
-          status: The status.
-          headers: The headers, without any that frame the body.
+          status: The HTTP status.
+          headers: The headers, without Content-Length and Transfer-Encoding.
           body: The body.
 
         Returns:
-          Whether all was handed to the connection.
+          Whether everything was written to the socket.
         """
         framing = ((b'Content-Length', str(len(body)).encode()),)
         head = h11.Response(status_code=status, headers=[*headers, *framing])
         return self._send(head, h11.Data(data=body), h11.EndOfMessage())
 
     def start(self, status: int, headers: Headers) -> bool:
-        """Write the head of an answer whose length is not known.
+        """Write the head of a response of unknown length.
 
         Args:
-          status: The status.
-          headers: The headers, without any that frame the body.
+          status: The HTTP status.
+          headers: The headers, without Content-Length and Transfer-Encoding.
 
         Returns:
-          Whether it was handed to the connection.
+          Whether it was written to the socket.
         """
         return self._send(
             h11.Response(status_code=status, headers=list(headers))
         )
 
-    def send(self, piece: bytes) -> bool:
+    def send(self, content: bytes) -> bool:
         """Write a part of the body.
 
         Args:
-          piece: The bytes.
+          content: The bytes.
 
         Returns:
-          Whether they were handed to the connection.
+          Whether they were written to the socket.
         """
-        return self._send(h11.Data(data=piece))
+        return self._send(h11.Data(data=content))
 
     def finish(self) -> bool:
         """Write the end of the body.
 
         Returns:
-          Whether it was handed to the connection.
+          Whether it was written to the socket.
         """
         return self._send(h11.EndOfMessage())
 
     def left(self) -> bool:
         """Return whether the caller has closed the connection."""
         poller = select.poll()
-        poller.register(self._sock, _LEFT_EVENTS)
+        poller.register(self._sock, _HANGUP_EVENTS)
         return bool(poller.poll(0))
 
     def close(self) -> None:
-        """Close the connection; an answer that is not finished stays broken."""
+        """Close the connection; an unfinished response stays truncated."""
         self._sock.close()
 
-    def _read_whole(self) -> Reading:
+    def _read_complete_request(self) -> ReadResult:
         head = self._next_event()
         if isinstance(head, CallerGone | BadRequest):
             return head
@@ -171,7 +173,7 @@
         received = self._clock.elapsed()
         limits = self._limits()
         if _head_size(head) > limits.head_bytes:
-            return BadRequest(_HEAD_TOO_LONG, 'the head is too long')
+            return BadRequest(_HEADERS_TOO_LARGE, 'the head is too long')
         if self._http.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(status_code=100, headers=[]))
         body = bytearray()
@@ -179,7 +181,7 @@
         while isinstance(event, h11.Data):
             body += event.data
             if len(body) > limits.body_bytes:
-                return BadRequest(_BODY_TOO_LONG, 'the body is too long')
+                return BadRequest(_BODY_TOO_LARGE, 'the body is too long')
             event = self._next_event()
         if isinstance(event, CallerGone | BadRequest):
             return event
@@ -192,14 +194,14 @@
         event = self._http.next_event()
         while event is h11.NEED_DATA:
             if not self._wait_for_bytes():
-                # An idle caller is closed without a word; a slow one is
-                # told why, since it is still there to read it.
+                # An idle connection is closed without a response. A caller
+                # that is slow within a request gets an error response.
                 slow = BadRequest(
                     HTTPStatus.REQUEST_TIMEOUT, 'the request took too long'
                 )
-                return slow if self._read_any else CallerGone()
+                return slow if self._request_begun else CallerGone()
             received = self._sock.recv(_READ_BYTES)
-            self._read_any = True
+            self._request_begun = True
             self._http.receive_data(received)
             event = self._http.next_event()
         if isinstance(event, h11.ConnectionClosed):
@@ -207,13 +209,16 @@
         return event
 
     def _wait_for_bytes(self) -> bool:
-        """Wait within the limits; look at them anew while it lasts."""
-        since = self._clock.elapsed()
-        while not _readable(self._sock, _LOOK):
+        """Wait for data within the time limits, rereading them meanwhile.
+
+        Return whether data arrived.
+        """
+        started_at = self._clock.elapsed()
+        while not _readable(self._sock, _LIMITS_CHECK_INTERVAL):
             limits = self._limits()
-            idle = not self._read_any
+            idle = not self._request_begun
             limit = limits.idle_timeout if idle else limits.head_timeout
-            if self._clock.elapsed() - since > limit:
+            if self._clock.elapsed() - started_at > limit:
                 return False
             if idle and self._is_closing():
                 return False
--- a/linnetwind/caller_service.py
+++ b/linnetwind/caller_service.py
@@ -1,4 +1,4 @@
-"""Serves the requests of one caller's connection, one after the other."""
+"""Serves the requests on one caller's connection, one after another."""
 
 from collections.abc import Callable
 from socket import socket
@@ -18,35 +18,37 @@
     tools: GatewayTools,
     limits: Callable[[], CallerLimits],
 ) -> None:
-    """Serve a connection until its caller or the daemon's stop ends it.
+    """Serve a connection until the caller closes it or the daemon stops.
 
     Args:
-      sock: The connection; the caller of this function closes it.
-      tools: What every request needs.
-      limits: Returns what a caller may send at present.
+      sock: The connection, which the calling code closes afterwards.
+      tools: The shared services.
+      limits: Returns the current limits on callers' requests.
     """
     stop = tools.stop
     connection = CallerConnection(sock, limits, stop.is_draining, tools.clock)
-    # Counted before the stop is looked at: in the other order the process
-    # could find nothing open and end while a connection passes this point.
+    # The connection is counted before the stop is checked. In the other order
+    # the process could find no open connection and exit while this thread is
+    # between the two steps.
     with tools.open_work.connection():
-        # The first request of a connection is always read and answered: a
-        # caller whose connection is closed unread is not told when to come
-        # back. An answer that was begun before the stop has not told its
-        # caller of it; its connection ends with it.
-        goes_on = _serve_next(connection, tools)
-        while goes_on and not stop.is_draining():
-            goes_on = _serve_next(connection, tools)
+        # The first request of a connection always gets a response, because a
+        # caller whose connection is closed without one receives no
+        # `Retry-After`. Later requests are not read once the daemon drains.
+        # A response that started before the stop has no `Connection: close`;
+        # its connection is closed after it all the same.
+        may_continue = _serve_next(connection, tools)
+        while may_continue and not stop.is_draining():
+            may_continue = _serve_next(connection, tools)
 
 
 def _serve_next(connection: CallerConnection, tools: GatewayTools) -> bool:
     """Serve the next request; return whether another may follow."""
-    asked = connection.read_request()
-    match asked:
+    reading = connection.read_request()
+    match reading:
         case CallerGone():
             return False
         case BadRequest(status):
             close = ((b'Connection', b'close'),)
             connection.answer(status, close, b'')
             return False
-    return Relay(tools, connection, asked).run()
+    return Relay(tools, connection, reading).run()
--- a/linnetwind/relay.py
+++ b/linnetwind/relay.py
@@ -249,8 +249,8 @@
     def _may_retry_elsewhere(self, context: Journey, retry: TryAnother) -> bool:
         if quarantine_left(self._tools, context) is not None:
             return False
-        budgets = self._tools.state.books.repeats
-        return not retry.counts or budgets.spend(context.service.name)
+        repeats = self._tools.state.books.repeats
+        return not retry.counts or repeats.spend(context.service.name)
 
     def _refuse(
         self, context: Journey, reason: str, retry_delay: timedelta = RETRY_SOON
--- a/linnetwind/upstream_call.py
+++ b/linnetwind/upstream_call.py
@@ -1,8 +1,8 @@
-"""One request at one upstream, over a connection of its own.
+"""Sends one request to one upstream over a new connection.
 
-A connection is used for one request only. A kept one may hold a late answer
-of an earlier request, or be reset by the first byte, after which nobody can
-say whether the request ran. A new connection costs one round trip.
+Connections are not pooled. A pooled connection may deliver a late response to
+an earlier request, or be reset when the first byte is sent; the gateway then
+cannot tell whether the request ran. A new connection costs one round trip.
 """
 
 import select
@@ -18,45 +18,45 @@
 from linnetwind.clock import Clock
 
 _READ_BYTES = 65_536
-# Data centres are milliseconds apart. A connection that is not there by then
-# stands before a host that is off or cut off; another upstream is tried.
+# Data centres are milliseconds apart. If a host does not accept a connection
+# within this time, it is down or unreachable, and another upstream is tried.
 _CONNECT_TIMEOUT_MS = 250
 CONNECT_TIMEOUT = timedelta(milliseconds=_CONNECT_TIMEOUT_MS)
 # A timeout of zero would make the connection non-blocking.
 _MIN_CONNECT_TIMEOUT_S = 0.001
-# Unanswered data makes the kernel give up a connection whose other end has
-# vanished without a word.
+# The kernel drops a connection whose peer does not acknowledge data for this
+# long. It detects hosts that vanish without closing their connections.
 _UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=10)
 _HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @dataclass(frozen=True, slots=True)
 class NotReached:
-    """No connection came about, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
     problem: str
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The connection ended, or what came is no answer; it may have run."""
+    """The connection or the response broke off; the request may have run."""
 
     problem: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimedOut:
-    """Nothing came until the time was over; it may still run."""
+    """The time limit passed without a response; the request may still run."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller closed its connection, so the call was cancelled."""
+    """The caller closed its connection, so the call is to be cancelled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head of an answer."""
+    """The status and headers of a response."""
 
     status: int
     headers: Headers
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """A part of an answer's body."""
+    """A part of a response's body."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The answer is whole."""
+    """The response is complete."""
 
 
 Failure = NotReached | Broken | TimedOut | CallerDisconnected
@@ -79,7 +79,7 @@
 
 
 class UpstreamCall:
-    """A request that was sent, and what comes back."""
+    """A request to an upstream and its response, on one connection."""
 
     def __init__(
         self, sock: socket.socket, caller: int | None, clock: Clock
@@ -88,9 +88,9 @@
 
         Args:
           sock: The connection.
-          caller: The descriptor of the caller's connection, watched for its
-            end; None if nobody waits.
-          clock: For limits on time.
+          caller: The file descriptor of the caller's connection, which is
+            polled for disconnection; None if no caller waits.
+          clock: The clock for time limits.
         """
         self._sock = sock
         self._caller = caller
@@ -104,7 +104,7 @@
 
     @property
     def broken(self) -> Broken | None:
-        """Return how the upstream broke the call off, None if it did not."""
+        """Return how the upstream broke off the call, None if it did not."""
         return self._broken
 
     def send(
@@ -112,16 +112,16 @@
     ) -> Broken | CallerDisconnected | TimedOut | None:
         """Send the request.
 
-        An upstream may answer before it has read a long body; sending ends
-        then, and the answer is read.
+        An upstream may respond before it has read a long body. Sending stops
+        then, and the response is read.
 
         Args:
           request: The caller's request.
-          headers: The headers for the upstream, without a length.
+          headers: The headers for the upstream, without Content-Length.
           until: The monotonic time at which to give up.
 
         Returns:
-          Why it could not be sent, or None.
+          Why the request could not be sent, None on success.
         """
         failure = self._send(request, headers, until)
         if isinstance(failure, Broken):
@@ -129,13 +129,13 @@
         return failure
 
     def next(self, until: timedelta) -> Progress:
-        """Wait for the next part of the answer.
+        """Wait for the next part of the response.
 
         Args:
           until: The monotonic time at which to give up.
 
         Returns:
-          The part, or why none will come.
+          The part, or why there is none.
         """
         progress = self._next(until)
         if isinstance(progress, Broken):
@@ -143,25 +143,25 @@
         return progress
 
     def close(self) -> None:
-        """Close the connection, which cancels work that is not done."""
+        """Close the connection, which cancels an unfinished request."""
         self._sock.close()
 
     def _send(
         self, request: CallerRequest, headers: Headers, until: timedelta
     ) -> Broken | CallerDisconnected | TimedOut | None:
-        outgoing = self._render(request, headers)
+        unsent = self._render(request, headers)
         self._poll.modify(self._sock, select.POLLIN | select.POLLOUT)
-        while outgoing:
-            ready = self._wait(until)
-            if not isinstance(ready, int):
-                return ready
-            if ready & select.POLLIN:
+        while unsent:
+            poll_events = self._wait(until)
+            if not isinstance(poll_events, int):
+                return poll_events
+            if poll_events & select.POLLIN:
                 break
             try:
-                sent = self._sock.send(outgoing)
+                sent = self._sock.send(unsent)
             except OSError as error:
                 return Broken(f'sending failed: {error}')
-            outgoing = outgoing[sent:]
+            unsent = unsent[sent:]
         self._poll.modify(self._sock, select.POLLIN)
         return None
 
@@ -197,9 +197,9 @@
     def _receive(
         self, until: timedelta
     ) -> Broken | CallerDisconnected | TimedOut | None:
-        ready = self._wait(until)
-        if not isinstance(ready, int):
-            return ready
+        poll_events = self._wait(until)
+        if not isinstance(poll_events, int):
+            return poll_events
         try:
             received = self._sock.recv(_READ_BYTES)
         except OSError as error:
@@ -208,36 +208,39 @@
         return None
 
     def _wait(self, until: timedelta) -> int | CallerDisconnected | TimedOut:
-        """Wait for the upstream; return the events of its connection."""
+        """Wait for the upstream; return the poll events of its connection."""
         while True:
-            left = until - self._clock.elapsed()
-            if left <= timedelta():
+            time_left = until - self._clock.elapsed()
+            if time_left <= timedelta():
                 return TimedOut()
-            events = dict(self._poll.poll(left / timedelta(milliseconds=1) + 1))
+            events = dict(
+                self._poll.poll(time_left / timedelta(milliseconds=1) + 1)
+            )
             if self._caller in events:
                 return CallerDisconnected()
-            ready = events.get(self._sock.fileno())
-            if ready is not None:
-                return ready
+            poll_events = events.get(self._sock.fileno())
+            if poll_events is not None:
+                return poll_events
 
 
 def open_call(
-    address: Address, caller: int | None, clock: Clock, MOST: timedelta
+    address: Address, caller: int | None, clock: Clock, timeout: timedelta
 ) -> UpstreamCall | NotReached:
     """Connect to an upstream.
 
     Args:
-      address: Where it listens.
-      caller: The descriptor of the caller's connection, or None.
-      clock: For limits on time.
-      most: The longest time that connecting may take.
+      address: The upstream's address.
+      caller: The file descriptor of the caller's connection, or None.
+      clock: The clock for time limits.
+      timeout: The longest time that connecting may take; `CONNECT_TIMEOUT`
+        applies if it is shorter.
 
     Returns:
       The call, or why there is no connection.
     """
-    limit = min(MOST, CONNECT_TIMEOUT).total_seconds()
+    timeout_s = min(timeout, CONNECT_TIMEOUT).total_seconds()
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.settimeout(max(limit, _MIN_CONNECT_TIMEOUT_S))
+    sock.settimeout(max(timeout_s, _MIN_CONNECT_TIMEOUT_S))
     try:
         _connect(sock, address)
     except OSError as error:
@@ -247,20 +250,21 @@
 
 
 def read_body_up_to(
-    call: UpstreamCall, MOST: int, until: timedelta
+    call: UpstreamCall, max_bytes: int, until: timedelta
 ) -> tuple[bytes, bool] | Broken | TimedOut | CallerDisconnected:
-    """Read a body up to a length.
+    """Read a body until it ends or exceeds a size.
 
     Args:
-      call: A call whose head was read.
-      most: The bytes after which reading stops.
+      call: A call whose head was already read.
+      max_bytes: The size in bytes beyond which reading stops.
       until: The monotonic time at which to give up.
 
     Returns:
-      What was read and whether it is the whole body, or why it broke off.
+      The bytes and whether they are the complete body, or why the body broke
+      off.
     """
     body = bytearray()
-    while len(body) <= MOST:
+    while len(body) <= max_bytes:
         progress = call.next(until)
         match progress:
             case BodyChunk(content):
--- a/linnetwind/upstream_http.py
+++ b/linnetwind/upstream_http.py
@@ -1,9 +1,9 @@
-"""Running one call at an upstream over HTTP.
+"""Runs one call at an upstream over HTTP.
 
-A connection is opened for each call. A pooled connection that the upstream
-has closed meanwhile takes the first bytes and dies, and then nobody knows
-whether the call ran; on one host a new connection costs well under a
-millisecond.
+Each call opens a new connection. If the upstream has closed a pooled
+connection in the meantime, the first bytes are sent before the connection
+fails, and it is then unknown whether the call ran. On one host a new
+connection costs well under a millisecond.
 """
 
 import re
@@ -29,7 +29,7 @@
 _STREAM_END = b'data: [DONE]'
 _MS = 1000
 _RETRY_MS = 500
-_ERRORS = (OSError, HTTPException, ValueError)
+_TRANSPORT_ERRORS = (OSError, HTTPException, ValueError)
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -45,40 +45,40 @@
     )
 )
 
-_SET_HERE = _HOP_BY_HOP | frozenset(('content-length', 'host'))
+_REPLACED_HEADERS = _HOP_BY_HOP | frozenset(('content-length', 'host'))
 
 _REFUSED = 503
 _BACKOFF_HEADER = 'retry-after'
-_SECONDS = re.compile('[0-9]{1,9}')
+_SECONDS_PATTERN = re.compile('[0-9]{1,9}')
 
-Answer = Head | Chunk | End | Refused | Lost
+CallFrame = Head | Chunk | End | Refused | Lost
 
 
 class UpstreamRun:
-    """One call on its way through one upstream."""
+    """One call at one upstream."""
 
     def __init__(self, address: Address, call: Call) -> None:
-        """Prepare the run; nothing is sent yet.
+        """Prepare the call; nothing is sent yet.
 
         Args:
           address: The upstream's address.
-          call: The call to run.
+          call: The call.
         """
         self._address = address
         self._call = call
         self._connection: HTTPConnection | None = None
-        self._chunks = 0
-        self._events = 0
-        self._partial = b''
-        self._ended = False
+        self._chunks_sent = 0
+        self._events_sent = 0
+        self._incomplete_event = b''
+        self._end_mark_seen = False
         self._cancelled = False
 
-    def answers(self) -> Iterator[Answer]:
+    def answers(self) -> Iterator[CallFrame]:
         """Run the call.
 
         Yields:
-          Either one `Refused`; or a `Head`, `Chunk`s and an `End`, with a
-          `Lost` in place of the rest if the whole answer cannot be had.
+          Either one `Refused`, or a `Head`, `Chunk`s and an `End`. If the
+          response cannot be completed, a `Lost` replaces the remaining frames.
         """
         connection = self._connect()
         if connection is None:
@@ -88,14 +88,14 @@
             return
         try:
             yield from self._run(connection)
-        except _ERRORS as error:
-            logger.debug('call {} broke: {!r}', self._call.call_id, error)
+        except _TRANSPORT_ERRORS as error:
+            logger.debug('call {} failed: {!r}', self._call.call_id, error)
             yield from self._resume()
         finally:
             self._close()
 
     def cancel(self) -> None:
-        """Stop the run; the upstream sees its connection close."""
+        """Cancel the call by closing the connection to the upstream."""
         self._cancelled = True
         self._close()
 
@@ -106,77 +106,84 @@
         try:
             connection.connect()
         except OSError:
-            # No byte has left, so "not run" is true.
+            # Nothing was sent, so the call cannot have run.
             return None
         connection.sock.settimeout(self._call.timeout_ms / _MS)
         self._connection = connection
         return connection
 
-    def _run(self, connection: HTTPConnection) -> Iterator[Answer]:
+    def _run(self, connection: HTTPConnection) -> Iterator[CallFrame]:
         response = self._send(connection, ())
         yield Head(
             self._call.call_id,
             response.status,
-            _kept(response.getheaders(), _HOP_BY_HOP),
+            _without_headers(response.getheaders(), _HOP_BY_HOP),
         )
         yield from self._body(response)
 
-    def _send(self, connection: HTTPConnection, extra: Headers) -> HTTPResponse:
+    def _send(
+        self, connection: HTTPConnection, extra_headers: Headers
+    ) -> HTTPResponse:
         call = self._call
         headers = {
-            **dict(_kept(call.headers, _SET_HERE)),
+            **dict(_without_headers(call.headers, _REPLACED_HEADERS)),
             REQUEST_ID_HEADER: call.request_id,
             PRIORITY_HEADER: str(call.priority),
-            **dict(extra),
+            **dict(extra_headers),
         }
         connection.request(call.method, call.path, call.body, headers)
         return connection.getresponse()
 
-    def _body(self, response: HTTPResponse) -> Iterator[Answer]:
+    def _body(self, response: HTTPResponse) -> Iterator[CallFrame]:
         events = self._call.streamed and response.status == _OK
         while body := response.read1(READ_BYTES):
-            whole = self._whole_events(body) if events else body
-            if whole:
-                yield Chunk(self._call.call_id, self._chunks, whole)
-                self._chunks += 1
-        # A stream whose engine died looks like one that ended, unless the
-        # end mark is asked for; the caller would take half an answer for
-        # the whole.
-        ended = self._ended or not events
-        if not ended or not _has_its_length(response, self._call):
+            complete = self._complete_events(body) if events else body
+            if complete:
+                yield Chunk(self._call.call_id, self._chunks_sent, complete)
+                self._chunks_sent += 1
+        # A stream whose engine crashed ends like a complete one, except for
+        # the end mark. Without this check the caller would take a truncated
+        # response for a complete one.
+        ended = self._end_mark_seen or not events
+        if not ended or not _has_complete_body(response, self._call):
             raise HTTPException('the end mark is missing')
-        yield End(self._call.call_id, self._chunks)
-
-    def _whole_events(self, body: bytes) -> bytes:
-        # A resumed stream starts at an event, so part of an event must not
-        # have gone out before it, or the caller would see it doubled.
-        known = self._partial + body
-        cut = known.rfind(_EVENT_END) + len(_EVENT_END)
-        if cut < len(_EVENT_END):
-            self._partial = known
+        yield End(self._call.call_id, self._chunks_sent)
+
+    def _complete_events(self, body: bytes) -> bytes:
+        # A resumed stream starts with a whole event. Part of that event must
+        # not have been sent before, or the caller would receive it twice.
+        buffered = self._incomplete_event + body
+        complete_length = buffered.rfind(_EVENT_END) + len(_EVENT_END)
+        if complete_length < len(_EVENT_END):
+            self._incomplete_event = buffered
             return b''
-        whole = known[:cut]
-        self._partial = known[cut:]
-        self._events += whole.count(_EVENT_END)
-        self._ended = self._ended or _STREAM_END in whole
-        return whole
-
-    def _resume(self) -> Iterator[Answer]:
-        """Continue a broken stream at the engine that still holds it."""
+        complete = buffered[:complete_length]
+        self._incomplete_event = buffered[complete_length:]
+        self._events_sent += complete.count(_EVENT_END)
+        self._end_mark_seen = self._end_mark_seen or _STREAM_END in complete
+        return complete
+
+    def _resume(self) -> Iterator[CallFrame]:
+        """Resume a broken stream if the engine still holds it."""
         for _ in range(RESUME_ATTEMPTS):
             connection = self._connect() if self._can_resume() else None
             if connection is None:
                 break
             try:
-                yield from self._run_rest(connection)
-            except _ERRORS as error:
-                logger.debug('no resume {}: {!r}', self._call.call_id, error)
+                yield from self._run_resumed(connection)
+            except _TRANSPORT_ERRORS as error:
+                logger.debug(
+                    'resuming call {} failed: {!r}', self._call.call_id, error
+                )
             else:
                 return
-        yield Lost(self._call.call_id, self._why_lost())
+        yield Lost(self._call.call_id, self._loss_reason())
 
-    def _why_lost(self) -> Reason:
-        """Find out whether the upstream crashed: then it does not listen."""
+    def _loss_reason(self) -> Reason:
+        """Return why the response is incomplete.
+
+        An upstream that accepts no new connection counts as crashed.
+        """
         if self._cancelled:
             return Reason.INCOMPLETE_ANSWER
         probe = self._connect()
@@ -185,11 +192,17 @@
         return Reason.INCOMPLETE_ANSWER
 
     def _can_resume(self) -> bool:
-        return self._call.streamed and self._events > 0 and not self._cancelled
+        return (
+            self._call.streamed
+            and self._events_sent > 0
+            and not self._cancelled
+        )
 
-    def _run_rest(self, connection: HTTPConnection) -> Iterator[Answer]:
-        self._partial = b''
-        response = self._send(connection, ((RESUME_HEADER, str(self._events)),))
+    def _run_resumed(self, connection: HTTPConnection) -> Iterator[CallFrame]:
+        self._incomplete_event = b''
+        response = self._send(
+            connection, ((RESUME_HEADER, str(self._events_sent)),)
+        )
         if response.status != _OK:
             raise HTTPException(f'status {response.status} on resume')
         yield from self._body(response)
@@ -200,34 +213,36 @@
 
 
 def backoff_asked(head: Head) -> timedelta | None:
-    """Return for how long an upstream wants no calls.
+    """Return for how long an upstream asks to receive no calls.
 
     Args:
-      head: The head of its answer.
+      head: The head of its response.
 
     Returns:
-      The time, None if it asks for nothing or names a date.
+      The delay in its `Retry-After` header, None if the status is not 503,
+      or the header is missing or states a date.
     """
     if head.status != _REFUSED:
         return None
-    named = {name.lower(): text.strip() for name, text in head.headers}
-    text = named.get(_BACKOFF_HEADER, '')
-    if not _SECONDS.fullmatch(text):
+    header_values = {name.lower(): text.strip() for name, text in head.headers}
+    text = header_values.get(_BACKOFF_HEADER, '')
+    if not _SECONDS_PATTERN.fullmatch(text):
         return None
     return timedelta(seconds=int(text))
 
 
-def _has_its_length(response: HTTPResponse, call: Call) -> bool:
-    # The library raises for a chunked body without its end. A body without
-    # any length ends where the connection does, which proves nothing.
+def _has_complete_body(response: HTTPResponse, call: Call) -> bool:
+    # `http.client` raises an error for a chunked body without its end. A body
+    # without Content-Length ends when the connection closes, which does not
+    # show that it is complete.
     if response.chunked or call.method == 'HEAD':
         return True
     return response.length == 0
 
 
-def _kept(
-    headers: Headers | list[tuple[str, str]], dropped: frozenset[str]
+def _without_headers(
+    headers: Headers | list[tuple[str, str]], excluded: frozenset[str]
 ) -> Headers:
     return tuple(
-        (name, text) for name, text in headers if name.lower() not in dropped
+        (name, text) for name, text in headers if name.lower() not in excluded
     )
