--- a/linnetwind/dispatch.py
+++ b/linnetwind/dispatch.py
@@ -1,4 +1,4 @@
-"""One request's way from the entry daemon to an answer."""
+"""Dispatches requests from an entry daemon to upstreams, with retries."""
 
 import random
 from datetime import timedelta
@@ -29,7 +29,7 @@
 
 
 class Dispatcher:
-    """Routes requests, follows their answers and retries where allowed."""
+    """Routes requests to upstreams, and retries failed ones where allowed."""
 
     def __init__(
         self,
@@ -40,15 +40,16 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Start with no requests.
+        """Start without requests.
 
         Args:
-          site: Where this daemon is.
-          incarnation: Differs after each restart; starts each call id.
-          fleet: What is known of the upstreams.
+          site: The site of this daemon.
+          incarnation: Identifies this process; it differs after each restart
+            and is the prefix of each call id.
+          fleet: The state of the upstreams.
           links: The connections to the side daemons.
-          clock: For deadlines.
-          rng: For sampling.
+          clock: The clock for deadlines.
+          rng: The random generator for sampling.
         """
         self._site = site
         self._incarnation = incarnation
@@ -56,19 +57,19 @@
         self._links = links
         self._clock = clock
         self._rng = rng
-        self._numbers = count()
+        self._call_numbers = count()
         self._budget = RetryBudget(0)
         self._crashes = DispatchCrashes(clock)
         self._lock = links.lock
 
     def open(self, request: CheckedRequest) -> OpenAnswer | NotRun | Unknown:
-        """Run a request until its answer begins, or until it has failed.
+        """Run a request until its response starts or the request fails.
 
         Args:
           request: The request.
 
         Returns:
-          The open answer, or the outcome without one.
+          The open response, or the outcome if there is none.
         """
         quarantined = self._crashes.refusal(request)
         if quarantined is not None:
@@ -81,15 +82,16 @@
         tried: set[str] = set()
         while True:
             attempts -= 1
-            found = self._attempt(request, frozenset(tried), deadline)
-            if isinstance(found, OpenAnswer):
-                return found
-            outcome, upstream = found
+            attempt_result = self._attempt(request, frozenset(tried), deadline)
+            if isinstance(attempt_result, OpenAnswer):
+                return attempt_result
+            outcome, upstream = attempt_result
             tried.add(upstream)
             decision = after_failure(
                 Attempt(
                     outcome,
-                    # The key's ledger keeps a second run from happening.
+                    # With an idempotency key, the recorded claim prevents a
+                    # second run.
                     request.repeatable or request.idempotency is not None,
                     attempts,
                     deadline - self._clock.elapsed(),
@@ -122,14 +124,14 @@
         if isinstance(choice, NoCandidate):
             outcome = NotRun(Reason.NO_UPSTREAM, choice.retry_after)
             return outcome, ''
-        began = self._clock.elapsed()
+        sent_at = self._clock.elapsed()
         run = self._start(request, choice.upstream, deadline)
         if isinstance(run, NotRun):
             return run, choice.upstream
         opened = run.open()
         if isinstance(opened, OpenAnswer):
-            return self._crashes.watch(request, began, opened)
-        self._crashes.note(request, began, opened)
+            return self._crashes.watch(request, sent_at, opened)
+        self._crashes.note(request, sent_at, opened)
         return opened, choice.upstream
 
     def _choose(
@@ -146,12 +148,12 @@
             _BLOCK_MS,
             request.tokens - request.prompt_tokens,
         )
-        fresh = exclude_tried(candidates, tried)
+        untried = exclude_tried(candidates, tried)
         identity = request.idempotency
         if identity is None:
-            choice = choose(fresh, route, base.routing, self._rng)
+            choice = choose(untried, route, base.routing, self._rng)
         else:
-            choice = choose_home(fresh, request.service.name, identity.slot)
+            choice = choose_home(untried, request.service.name, identity.slot)
         _log_choice(request, choice)
         return choice
 
@@ -180,10 +182,10 @@
     def _make_call(
         self, request: CheckedRequest, upstream: str, deadline: timedelta
     ) -> Call:
-        left = max(deadline - self._clock.elapsed(), timedelta())
+        time_left = max(deadline - self._clock.elapsed(), timedelta())
         identity = request.idempotency
         return Call(
-            f'{self._incarnation}:{next(self._numbers)}',
+            f'{self._incarnation}:{next(self._call_numbers)}',
             request.request_id,
             upstream,
             request.method,
@@ -192,7 +194,7 @@
             request.body,
             request.customer.name,
             request.customer.priority,
-            left // _MS,
+            time_left // _MS,
             request.repeatable,
             request.streamed,
             request.service.name,
@@ -209,14 +211,14 @@
     links: LinkPool,
     clock: Clock,
 ) -> Dispatcher:
-    """Build a dispatcher with a random generator of its own.
+    """Build a dispatcher with its own random generator.
 
     Args:
-      site: Where this daemon is.
-      incarnation: Differs after each restart.
-      fleet: What is known of the upstreams.
+      site: The site of this daemon.
+      incarnation: Identifies this process; it differs after each restart.
+      fleet: The state of the upstreams.
       links: The connections to the side daemons.
-      clock: For deadlines.
+      clock: The clock for deadlines.
 
     Returns:
       The dispatcher.
@@ -226,20 +228,20 @@
 
 
 def _log_choice(request: CheckedRequest, choice: Choice | NoCandidate) -> None:
-    facts = {
+    fields = {
         'request': request.request_id,
         'customer': request.customer.name,
         'service': request.service.name,
     }
     match choice:
         case Choice(upstream=upstream, reason=reason, best=best):
-            facts['upstream'] = upstream
-            facts['reason'] = reason
-            facts['expected_ms'] = str(round(best.total_ms, 1))
-            facts['passed_over'] = ' '.join(
+            fields['upstream'] = upstream
+            fields['reason'] = reason
+            fields['expected_ms'] = str(round(best.total_ms, 1))
+            fields['passed_over'] = ' '.join(
                 f'{each.upstream}={each.total_ms:.1f}'
                 for each in choice.passed_over
             )
-            log_decision('routed', facts)
+            log_decision('routed', fields)
         case NoCandidate():
-            log_decision('no_upstream', facts)
+            log_decision('no_upstream', fields)
--- a/linnetwind/fingerprint.py
+++ b/linnetwind/fingerprint.py
@@ -1,12 +1,13 @@
-"""What makes two requests the same one, through whichever gateway they come."""
+"""Identifies a request by a fingerprint that is the same at every gateway."""
 
 import hashlib
 from typing import NewType
 
-# Names what was asked and by whom; 16 hexadecimal digits.
+# A hash of a request and its customer, as 16 hexadecimal digits.
 Fingerprint = NewType('Fingerprint', str)
 
-# Two of a million different requests share 64 bits once in 37 million times.
+# 64 bits: among a million different requests, the probability that any two
+# have the same fingerprint is 1 in 37 million.
 _DIGEST_BYTES = 8
 _LENGTH_BYTES = 8
 
@@ -14,12 +15,12 @@
 def fingerprint_request(
     caller: str, method: bytes, target: bytes, body: bytes
 ) -> Fingerprint:
-    """Return what all tries of one request have in common.
+    """Return the fingerprint that all retries of a request share.
 
-    Headers are left out: each try has an id and a time limit of its own.
+    Headers are excluded, because each retry has its own id and time limit.
 
     Args:
-      caller: Who asks: a customer's name, empty for an anonymous caller.
+      caller: The customer's name, empty for an anonymous caller.
       method: The request's method.
       target: Its path and query.
       body: Its body.
@@ -29,8 +30,8 @@
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (caller.encode(), method, target, body):
-        # The length goes first, so that no part can pass for the end of the
-        # one before it.
+        # Each part is preceded by its length. Otherwise different divisions
+        # of the same bytes into parts would have the same fingerprint.
         digest.update(len(part).to_bytes(_LENGTH_BYTES, 'big'))
         digest.update(part)
     return Fingerprint(digest.hexdigest())
--- a/linnetwind/fingerprint_test.py
+++ b/linnetwind/fingerprint_test.py
@@ -1,4 +1,4 @@
-"""Tests of what makes two requests the same one."""
+"""Tests of the fingerprints of requests."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 REQUEST = ('customer', b'POST', b'/x/1', b'body')
 
 
-def test_a_request_that_comes_again_has_the_same_fingerprint():
+def test_a_repeated_request_has_the_same_fingerprint():
     assert fingerprint_request(*REQUEST) == fingerprint_request(*REQUEST)
 
 
@@ -18,9 +18,9 @@
         ('customer', b'POST', b'/x/2', b'body'),
         ('customer', b'PUT', b'/x/1', b'body'),
         ('another', b'POST', b'/x/1', b'body'),
-        # The parts together are the same bytes.
+        # The concatenated parts are the same bytes as in REQUEST.
         ('customer', b'POST', b'/x/', b'1body'),
     ],
 )
-def test_other_requests_have_another_fingerprint(other):
+def test_a_different_request_has_a_different_fingerprint(other):
     assert fingerprint_request(*other) != fingerprint_request(*REQUEST)
--- a/linnetwind/outcome.py
+++ b/linnetwind/outcome.py
@@ -1,8 +1,8 @@
-"""The three ways a request can end, each with a type of its own.
+"""The three possible outcomes of a request, each with its own type.
 
-A caller may repeat a request safely only after `NotRun`. The distinction is
-kept by type from the side daemon to the HTTP answer, so that no code path
-can turn a request whose fate is unknown into one that was refused.
+A caller can safely retry a request only after `NotRun`. Separate types keep
+the distinction from the side daemon to the HTTP response, so that no code path
+can report a request as refused although its outcome is unknown.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused or its fate is unknown."""
+    """Why a request was refused, or why its outcome is unknown."""
 
     BAD_REQUEST = 'bad_request'
     TOO_LARGE = 'too_large'
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream's whole answer was received."""
+    """The complete response of the upstream was received."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request did not start at any upstream, and never will."""
+    """The request did not start at any upstream and will not start later."""
 
     reason: Reason
     retry_after: timedelta
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run; nobody can say whether it did."""
+    """The request may have run; whether it did cannot be determined."""
 
     reason: Reason
 
--- a/linnetwind/request_books.py
+++ b/linnetwind/request_books.py
@@ -1,4 +1,4 @@
-"""What a gateway and its peers remember of callers' requests."""
+"""The request history that a gateway daemon shares with its peers."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestBooks:
-    """The books; each may be used from any thread.
+    """Retry budgets, refusals, crashes, limits and backoffs; thread-safe.
 
-    `repeats` are the budgets of second tries, `refusals` who was told to come
-    back, `crashes` the requests under which upstreams have crashed, `limits`
-    how many requests upstreams take, `backoffs` which of them want none for a
-    time.
+    `repeats` holds the retry budgets, `refusals` the requests that were
+    refused with a time to retry, `crashes` the requests during which upstreams
+    crashed, `limits` the upstreams' limits on requests per second, and
+    `backoffs` the upstreams that currently accept no requests.
     """
 
     repeats: SharedRepeats
@@ -29,11 +29,11 @@
     backoffs: UpstreamBackoffs
 
     def hear(self, state: PeerState, daemons: int) -> None:
-        """Take in a peer's message.
+        """Merge the state that a peer sent.
 
         Args:
-          state: What the peer sent.
-          daemons: How many daemons there are, this one included.
+          state: The peer's state.
+          daemons: The number of daemons, including this one.
         """
         self.refusals.hear(state.refused)
         self.crashes.hear(state.crashes, state.answered)
@@ -44,21 +44,21 @@
 def make_books(
     terms: BudgetTerms, clock: Clock, peers: Callable[[], PeerBook]
 ) -> RequestBooks:
-    """Return empty books.
+    """Return an empty request history.
 
     Args:
-      terms: The shared budget of second tries.
-      clock: For forgetting.
-      peers: Returns what is known of the peers.
+      terms: The terms of the shared retry budget.
+      clock: The clock for expiring records.
+      peers: Returns the current states of the peers.
 
     Returns:
-      The books.
+      The request history.
     """
     repeats = SharedRepeats(terms, clock)
 
     def demands(service: str) -> Mapping[str, float]:  # noqa: WPS430
-        own = ServiceDemand(service, repeats.demand(service))
-        return demands_of(peers(), own, clock.elapsed())
+        own_demand = ServiceDemand(service, repeats.demand(service))
+        return demands_of(peers(), own_demand, clock.elapsed())
 
     return RequestBooks(
         repeats,
--- a/linnetwind/retry.py
+++ b/linnetwind/retry.py
@@ -1,8 +1,7 @@
-"""Whether a request that got no answer is tried once more.
+"""Decides whether to retry a request whose attempt failed.
 
-The budget follows the idea of retry budgets in site reliability practice:
-retries may be a fraction of the requests, so that an outage does not
-multiply the load that caused it.
+A retry budget limits retries to a fraction of the requests, so that during an
+outage retries do not multiply the load that caused it.
 """
 
 from dataclasses import dataclass
@@ -11,10 +10,10 @@
 from linnetwind.outcome import NotRun, Reason, Unknown
 
 _STARTING_TOKENS = 10.0
-_MOST_TOKENS = 100.0
+_MAX_TOKENS = 100.0
 
-# Another upstream would refuse for the same reason.
-_FINAL = frozenset(
+# Refusals that every other upstream would repeat.
+_FINAL_REASONS = frozenset(
     (
         Reason.CUSTOMER_LIMIT,
         Reason.BAD_REQUEST,
@@ -27,26 +26,26 @@
 
 
 class RetryBudget:
-    """Tokens that requests earn and retries spend."""
+    """A token budget: requests add tokens and each retry spends one."""
 
     def __init__(self, ratio: float) -> None:
-        """Start with a few tokens, so that a quiet daemon can retry.
+        """Start with a few tokens, so that retries work under low traffic too.
 
         Args:
-          ratio: Tokens earned by each request.
+          ratio: The tokens that each request adds.
         """
         self.ratio = ratio
         self._tokens = _STARTING_TOKENS
 
     def earn(self) -> None:
-        """Take note of a new request."""
-        self._tokens = min(_MOST_TOKENS, self._tokens + self.ratio)
+        """Add the tokens of a new request."""
+        self._tokens = min(_MAX_TOKENS, self._tokens + self.ratio)
 
     def spend(self) -> bool:
-        """Take a token for a retry.
+        """Spend a token on a retry.
 
         Returns:
-          Whether there was one.
+          Whether a token was available.
         """
         if self._tokens < 1:
             return False
@@ -56,19 +55,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try another upstream now."""
+    """Retry at another upstream at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Answer the caller with this, at once."""
+    """Report this outcome to the caller at once."""
 
     outcome: NotRun | Unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A failed attempt, and what is left."""
+    """A failed attempt, and the attempts and time that remain."""
 
     outcome: NotRun | Unknown
     repeatable: bool
@@ -77,20 +76,20 @@
 
 
 def after_failure(attempt: Attempt, budget: RetryBudget) -> Retry | GiveUp:
-    """Decide what follows a failed attempt.
+    """Decide whether to retry after a failed attempt.
 
     Args:
-      attempt: How it failed.
-      budget: The daemon's budget; spent from if a retry is due.
+      attempt: The failed attempt.
+      budget: The daemon's retry budget, from which a retry spends a token.
 
     Returns:
       The decision.
     """
     outcome = attempt.outcome
     if isinstance(outcome, Unknown) and not attempt.repeatable:
-        # It may have run: a second attempt could run it twice.
+        # The request may have run; a retry could run it twice.
         return GiveUp(outcome)
-    if outcome.reason in _FINAL:
+    if outcome.reason in _FINAL_REASONS:
         return GiveUp(outcome)
     if attempt.attempts_left <= 0 or attempt.time_left <= timedelta():
         return GiveUp(outcome)
--- a/linnetwind/routing.py
+++ b/linnetwind/routing.py
@@ -1,11 +1,12 @@
-"""Choosing an upstream for a request.
-
-The score of a candidate is the time in milliseconds that the request is
-expected to spend there before and while it is served: the wait for a slot,
-the hop, and the slow-down by what already runs, less what a cached prefix
-saves. A few candidates are sampled instead of taking the best of all, so
-that entry daemons which see the same old reports do not all choose the same
-upstream.
+"""Chooses an upstream for a request.
+
+The score of a candidate is the expected latency of the request there in
+milliseconds: the wait for a slot, the network hop, the contention with running
+requests, and the prefill and decode times, less the prefill time that a cached
+prefix saves. The best of a small random sample is chosen, preferably from the
+caller's region; the candidate with the most cached blocks always belongs to
+it. If daemons chose the best of all candidates, those with the same outdated
+reports would all choose the same upstream.
 """
 
 import random
@@ -19,17 +20,20 @@
 
 _MS = timedelta(milliseconds=1)
 _SECOND = timedelta(seconds=1)
-_SMALLEST_SERVICE_MS = 0.1
+_MIN_SERVICE_MS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
     """An upstream as one entry daemon sees it.
 
-    `running` and `waiting` are the upstream's own report; `unreported` is
-    the number of own calls that the report cannot hold yet. `own` is all
-    own calls in flight. `silence` is the time since anything came from the
-    upstream while own calls were waiting for it.
+    `running` and `waiting` come from the upstream's last report, and
+    `unreported` counts this daemon's calls that the report does not include
+    yet. `own` counts all calls of this daemon in flight there. `silence` is the
+    time since the upstream last sent anything while this daemon's calls were
+    waiting for it. `service_ms` is the expected time of one call, `step_ms`
+    that of one token step, and `cached_blocks` the number of the prompt's
+    blocks that are in the upstream's cache.
     """
 
     upstream: str
@@ -48,10 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What matters of a request for its route.
+    """The properties of a request that affect the choice of an upstream.
 
-    `block_ms` is what the engine spends on one block of the prompt that is
-    not in its cache; `tokens` the most tokens that it may generate.
+    `site` and `region` are those of the entry daemon, `blocks` is the number
+    of blocks in the prompt, `block_ms` the engine's time for a block that is
+    not in its cache, and `tokens` the maximum number of tokens to generate.
     """
 
     site: str
@@ -63,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoredCandidate:
-    """A candidate's expected time, and its parts, in milliseconds."""
+    """A candidate's expected latency and its parts, in milliseconds."""
 
     upstream: str
     total_ms: float
@@ -75,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The upstream chosen, and the sampled ones that were passed over."""
+    """The chosen upstream, and the other candidates of the sample."""
 
     upstream: str
     reason: str
@@ -85,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoCandidate:
-    """No upstream can take the request."""
+    """No upstream can accept the request."""
 
     retry_after: timedelta
 
     def describe(self) -> str:
-        """Return that there is none."""
+        """Return a description for people."""
         return 'no upstream is live'
 
 
@@ -103,28 +108,28 @@
     """Choose an upstream.
 
     Args:
-      candidates: The upstreams that take new calls.
-      request: What is to be routed.
-      weights: The operator's weights.
-      rng: For the sample and for ties.
+      candidates: The upstreams that accept new calls.
+      request: The request.
+      weights: The configured routing weights.
+      rng: The random generator for the sample and for ties.
 
     Returns:
-      The choice with its reason, or that there is none.
+      The choice with its reason, or `NoCandidate`.
     """
     if not candidates:
         return NoCandidate(_SECOND)
     sample = _sample(candidates, request, weights, rng)
-    scored = [_score(each, request, weights) for each in sample]
-    # Equal scores are common when the fleet is idle; the first in the list
-    # must not get all the work.
-    rng.shuffle(scored)
-    scored.sort(key=lambda each: each.total_ms)
-    best = scored[0]
+    scores = [_score(each, request, weights) for each in sample]
+    # Equal scores are common when the fleet is idle. Without shuffling, the
+    # first upstream of the list would receive all requests.
+    rng.shuffle(scores)
+    scores.sort(key=lambda each: each.total_ms)
+    best = scores[0]
     return Choice(
         best.upstream,
         _reason(best, sample),
         best,
-        tuple(scored[1:]),
+        tuple(scores[1:]),
     )
 
 
@@ -134,13 +139,13 @@
     weights: Routing,
     rng: random.Random,
 ) -> list[Candidate]:
-    near = [each for each in candidates if each.region == request.region]
-    pool = near or list(candidates)
+    same_region = [each for each in candidates if each.region == request.region]
+    pool = same_region or list(candidates)
     size = min(weights.sample_size, len(pool))
     sample = rng.sample(pool, size)
-    warmest = max(pool, key=lambda each: each.cached_blocks)
-    if warmest.cached_blocks > 0 and warmest not in sample:
-        sample.append(warmest)
+    best_cached = max(pool, key=lambda each: each.cached_blocks)
+    if best_cached.cached_blocks > 0 and best_cached not in sample:
+        sample.append(best_cached)
     return sample
 
 
@@ -152,8 +157,8 @@
     hits = min(candidate.cached_blocks, request.blocks)
     misses = request.blocks - weights.cache_weight * hits
     prefill_ms = misses * request.block_ms
-    # A step takes as long as the slowest rank of the group, so a straggler
-    # shows here before the calls that it slows down have ended.
+    # A step takes as long as the slowest rank of the group. A slow rank
+    # therefore raises the score before the calls that it delays have ended.
     decode_ms = request.tokens * candidate.step_ms
     return ScoredCandidate(
         candidate.upstream,
@@ -166,18 +171,18 @@
 
 
 def _wait_ms(candidate: Candidate) -> float:
-    service_ms = max(candidate.service_ms, _SMALLEST_SERVICE_MS)
+    service_ms = max(candidate.service_ms, _MIN_SERVICE_MS)
     load = candidate.running + candidate.waiting + candidate.unreported
-    # Own calls are known for certain, whatever a late report says.
+    # The count of own calls is exact even if the report is outdated.
     load = max(load, candidate.own)
     queued = max(0, load + 1 - candidate.concurrency)
     wait_ms = queued * service_ms / candidate.concurrency
-    # Even without a queue a fuller engine is slower for each of its calls.
-    crowding_ms = service_ms * load / candidate.concurrency
-    # An upstream that has stopped keeps its last, good-looking report. Its
-    # silence beyond the usual service time counts as waiting time.
-    silent_ms = max(0, candidate.silence / _MS - service_ms)
-    return wait_ms + crowding_ms + silent_ms
+    # Even without a queue, more running calls make each call slower.
+    contention_ms = service_ms * load / candidate.concurrency
+    # The last report of an upstream that hangs may show little load. The time
+    # without a message beyond the usual service time counts as waiting time.
+    overdue_ms = max(0, candidate.silence / _MS - service_ms)
+    return wait_ms + contention_ms + overdue_ms
 
 
 def _hop_ms(
@@ -202,19 +207,21 @@
 def choose_home(
     candidates: Sequence[Candidate], service: str, slot: int
 ) -> Choice | NoCandidate:
-    """Choose the upstream whose side should own a slot.
+    """Choose the upstream whose side daemon owns a slot.
 
-    Every entry daemon that sees the same upstreams chooses the same one, by
-    the highest hash of slot and name. When their views differ two sides may
-    take the slot from each other; that costs appends, never a second run.
+    Rendezvous hashing: the upstream with the highest hash of service, slot and
+    name is chosen, so that all entry daemons that see the same upstreams
+    choose the same one. While their views differ, two side daemons may
+    repeatedly take over the slot from each other. That costs appends to the
+    log but never runs a request twice.
 
     Args:
-      candidates: The upstreams that take new calls.
+      candidates: The upstreams that accept new calls.
       service: The service's name.
-      slot: The slot of the request's key.
+      slot: The slot of the request's idempotency key.
 
     Returns:
-      The choice, or that there is none.
+      The choice, or `NoCandidate`.
     """
     if not candidates:
         return NoCandidate(_SECOND)
@@ -224,23 +231,24 @@
             f'{service}/{slot}/{each.upstream}'.encode()
         ),
     )
-    scored = [
+    scores = [
         ScoredCandidate(each.upstream, 0, 0, 0, 0) for each in reversed(ordered)
     ]
-    return Choice(scored[0].upstream, f'home of slot {slot}', scored[0], ())
+    return Choice(scores[0].upstream, f'home of slot {slot}', scores[0], ())
 
 
 def exclude_tried(
     candidates: Sequence[Candidate], tried: frozenset[str]
 ) -> list[Candidate]:
-    """Leave out the upstreams that were tried, unless all were.
+    """Exclude the upstreams that were already tried, unless all were.
 
     Args:
-      candidates: The upstreams that take new calls.
-      tried: The names of those that have refused or lost this request.
+      candidates: The upstreams that accept new calls.
+      tried: The names of the upstreams at which an attempt of this request
+        failed.
 
     Returns:
-      The candidates that remain.
+      The remaining candidates, or all of them if none remains.
     """
-    fresh = [each for each in candidates if each.upstream not in tried]
-    return fresh or list(candidates)
+    untried = [each for each in candidates if each.upstream not in tried]
+    return untried or list(candidates)
