--- a/linnetwind/dispatch.py
+++ b/linnetwind/dispatch.py
@@ -124,14 +124,14 @@
         if isinstance(choice, NoCandidate):
             outcome = NotRun(Reason.NO_UPSTREAM, choice.retry_after)
             return outcome, ''
-        sent_at = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         run = self._start(request, choice.upstream, deadline)
         if isinstance(run, NotRun):
             return run, choice.upstream
         opened = run.open()
         if isinstance(opened, OpenAnswer):
-            return self._crashes.watch(request, sent_at, opened)
-        self._crashes.note(request, sent_at, opened)
+            return self._crashes.watch(request, started_at, opened)
+        self._crashes.note(request, started_at, opened)
         return opened, choice.upstream
 
     def _choose(
--- a/linnetwind/relay.py
+++ b/linnetwind/relay.py
@@ -93,6 +93,7 @@
         )
 
     def _authorize(self, context: Journey) -> Done:
+        """Check the route and the API key, then process the request."""
         decision = allow(context.table, context.facts)
         match decision:
             case Denied(status, reason):
@@ -106,6 +107,7 @@
                 return self._admit(context)
 
     def _admit(self, context: Journey) -> Done:
+        """Check service, quarantine and daemon stop, then run the request."""
         name = choose_service(context.route, random.random())
         context.service = context.table.services.get(name)
         if context.service is None:
--- a/linnetwind/routing.py
+++ b/linnetwind/routing.py
@@ -3,10 +3,10 @@
 The score of a candidate is the expected latency of the request there in
 milliseconds: the wait for a slot, the network hop, the contention with running
 requests, and the prefill and decode times, less the prefill time that a cached
-prefix saves. The best of a small random sample is chosen, preferably from the
-caller's region; the candidate with the most cached blocks always belongs to
-it. If daemons chose the best of all candidates, those with the same outdated
-reports would all choose the same upstream.
+prefix saves. The best of a small random sample is chosen. The sample comes from
+the daemon's own region if possible, and includes the candidate with the most
+cached blocks. If daemons chose the best of all candidates, those with the same
+outdated reports would all choose the same upstream.
 """
 
 import random
@@ -31,8 +31,8 @@
     `unreported` counts this daemon's calls that the report does not include
     yet. `own` counts all calls of this daemon in flight there. `silence` is the
     time since the upstream last sent anything while this daemon's calls were
-    waiting for it. `service_ms` is the expected time of one call, `step_ms`
-    that of one token step, and `cached_blocks` the number of the prompt's
+    waiting for it. `service_ms` is the smoothed time of one request, `step_ms`
+    the time of one engine step, and `cached_blocks` the number of the prompt's
     blocks that are in the upstream's cache.
     """
 
@@ -95,7 +95,7 @@
     retry_after: timedelta
 
     def describe(self) -> str:
-        """Return a description for people."""
+        """Return a description in plain words."""
         return 'no upstream is live'
 
 
--- a/linnetwind/upstream_attempt.py
+++ b/linnetwind/upstream_attempt.py
@@ -58,12 +58,12 @@
         """
         if self._connection.left():
             return CALLER_LEFT
-        sent_at = self._tools.clock.elapsed()
+        started_at = self._tools.clock.elapsed()
         call = self._tools.open_call(
             self._upstream.address,
             self._connection.fileno,
             self._tools.clock,
-            self._context.until - sent_at,
+            self._context.until - started_at,
         )
         if isinstance(call, NotReached):
             self._tools.state.note_miss(self._upstream)
@@ -74,19 +74,26 @@
             result = self._exchange(call)
         finally:
             call.close()
-        self._record_end(call, result, sent_at)
+        self._record_end(call, result, started_at)
         return result
 
     def _record_end(
-        self, call: UpstreamCall, result: Done | AttemptLost, sent_at: timedelta
+        self,
+        call: UpstreamCall,
+        result: Done | AttemptLost,
+        started_at: timedelta,
     ) -> None:
-        took = self._tools.clock.elapsed() - sent_at
+        took = self._tools.clock.elapsed() - started_at
         self._tools.state.note_answer(
             self._upstream, took, failed=_is_failure(result)
         )
         if call.broken is not None:
             note_if_crashed(
-                self._tools, self._context, self._upstream, call.broken, sent_at
+                self._tools,
+                self._context,
+                self._upstream,
+                call.broken,
+                started_at,
             )
 
     def _exchange(self, call: UpstreamCall) -> Done | AttemptLost:
@@ -115,30 +122,31 @@
     def _handle_head(
         self, call: UpstreamCall, head: Head
     ) -> Done | AttemptLost:
-        answer = self._tools.dialect.read_answer(head.status, head.headers)
-        if answer.not_executed or answer.misdirected:
-            self._update_instance(answer)
-            self._record_backpressure(answer)
+        response = self._tools.dialect.read_answer(head.status, head.headers)
+        if response.not_executed or response.misdirected:
+            self._update_instance(response)
+            self._record_backpressure(response)
             reason = f'upstream refused with {head.status}'
             return AttemptLost(reason, may_have_run=False, reached=True)
-        if not self._matches_call(answer):
+        if not self._matches_call(response):
             return AttemptLost(
                 'not an answer to this call', may_have_run=True, reached=True
             )
-        self._record_backpressure(answer)
+        self._record_backpressure(response)
         return ResponseRelay(
             self._tools, self._connection, self._context, call, head
         ).run()
 
-    def _record_backpressure(self, answer: AnswerFacts) -> None:
-        note_backpressure(self._tools, self._context, self._upstream, answer)
+    def _record_backpressure(self, response: AnswerFacts) -> None:
+        note_backpressure(self._tools, self._context, self._upstream, response)
 
-    def _update_instance(self, answer: AnswerFacts) -> None:
-        if not answer.misdirected or answer.instance is None:
+    def _update_instance(self, response: AnswerFacts) -> None:
+        """Stop using the upstream if another instance has its address now."""
+        if not response.misdirected or response.instance is None:
             return
-        if answer.instance != self._upstream.instance:
+        if response.instance != self._upstream.instance:
             self._tools.state.change_upstreams(
-                lambda known: known.replace_instance(self._upstream)
+                lambda upstreams: upstreams.replace_instance(self._upstream)
             )
 
     def _head_deadline(self, now: timedelta) -> timedelta:
@@ -153,8 +161,10 @@
             return context.until
         return now + (context.until - now) * _HEAD_WAIT_FRACTION
 
-    def _matches_call(self, answer: AnswerFacts) -> bool:
-        return answer.signed and answer.call_id == self._context.facts.call_id
+    def _matches_call(self, response: AnswerFacts) -> bool:
+        return (
+            response.signed and response.call_id == self._context.facts.call_id
+        )
 
 
 def _is_failure(result: Done | AttemptLost) -> bool:
