--- a/linnetwind/call_types.py
+++ b/linnetwind/call_types.py
@@ -71,7 +71,7 @@
     that it did not run the request. `misdirected` says that the request
     expected another instance at this address; `instance` then names the one
     that responded. `call_id` is None if the response names no call.
-    `most_per_s` is the upstream's limit on the requests per second of all
+    `max_per_s` is the upstream's limit on the requests per second of all
     daemons together, None if it states no limit. `backoff` is how long it
     accepts no more requests from this daemon, None if it requests no backoff.
     `leaving` says that it is shutting down and accepts no new requests.
--- a/linnetwind/journey.py
+++ b/linnetwind/journey.py
@@ -63,7 +63,7 @@
     """The state of a request between its reception and its final response.
 
     `until` is the monotonic time by which the final response is due.
-    `claimed` is the upstream at which the request is already counted before
+    `acquired` is the upstream at which the request is already counted before
     its first attempt, and `current_upstream` the one that it was sent to last.
     `sent_to` lists the instances that received the request; `tried` holds
     those that are excluded from further attempts.
--- a/linnetwind/request_books.py
+++ b/linnetwind/request_books.py
@@ -16,10 +16,10 @@
 class RequestBooks:
     """Retry budgets, refusals, crashes, limits and backoffs; thread-safe.
 
-    `repeats` holds the retry budgets, `refusals` the requests that were
-    refused with a time to retry, `crashes` the requests during which upstreams
-    crashed, `limits` the upstreams' limits on requests per second, and
-    `backoffs` the upstreams that currently accept no requests.
+    `retry_budgets` limits the retries to each service. `refusals` holds the
+    requests that were refused with a time to retry, `crashes` the requests
+    during which upstreams crashed, `limits` the upstreams' limits on requests
+    per second, and `backoffs` the upstreams that currently accept no requests.
     """
 
     repeats: SharedRepeats
