--- a/linnetwind/group_room.py
+++ b/linnetwind/group_room.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of one rank group, to say how many streams fit in."""
+"""The capacity of one rank group for streams, as one daemon knows it."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -11,27 +11,33 @@
     expected_opening,
     take_word,
 )
-from linnetwind.pass_meter import USUAL_SKEW, PassMeter, stream_limit
+from linnetwind.pass_meter import (
+    USUAL_SKEW,
+    PassTimeEstimator,
+    stream_limit,
+)
 from linnetwind.peer_book import GroupBrief
 from linnetwind.place_shares import Allowance
 from linnetwind.routes import EngineFigures
 
-# Arrived and ended streams that count for their rates.
+# The period in which arrivals and ends of streams count for their rates.
 RATE_WINDOW = timedelta(seconds=1)
-# A brief of the planner is used this long.
-_BRIEF_AGE = timedelta(seconds=2)
-# A group of which no planner has said anything for this long is gone.
-GROUP_GONE = timedelta(seconds=10)
-# The group of ranks while no planner has said which groups there are.
+# How long a summary of the planner is used.
+_MAX_SUMMARY_AGE = timedelta(seconds=2)
+# A group is removed if no planner has sent a summary of it for this long.
+GROUP_EXPIRY = timedelta(seconds=10)
+# The group of all ranks while no planner has announced the groups.
 UNNAMED = ''
 
 
 @dataclass(frozen=True, slots=True)
 class GroupCount:
-    """The streams of a group and its ranks, as this daemon counts them.
+    """The streams and ranks of a group, as this daemon counts them.
 
-    `ranks` are those that take streams from this daemon; `backoff` is how
-    long none does, since all have asked this daemon to back off.
+    `running` counts the streams of all daemons, `own_running` those of this
+    daemon, and `ranks` the ranks that accept streams from this daemon.
+    `backoff` is how long no rank does, if all have asked this daemon for a
+    backoff.
     """
 
     running: int
@@ -41,148 +47,156 @@
 
 
 @dataclass
-class GroupRoom:
-    """Pauses and ends of a group's streams, and the planner's last brief.
-
-    `allowance` says how many streams this daemon may run there; `use` is the
-    part of the limit that was in use when a stream last asked; `health` tells
-    whether the group runs anything.
+class GroupCapacity:
+    """The state of a group from which its free permits are computed.
+
+    `ends` are the monotonic times at which streams of this daemon ended,
+    `allowance` is how many streams it may run there. `use` is the
+    share of the limit that was in use when a stream last asked for a permit,
+    `health` says whether the group can run streams. `summary` is the last one
+    of the planner, and `summary_at` the monotonic time at which it came.
     """
 
-    meter: PassMeter = field(default_factory=PassMeter)
+    estimator: PassTimeEstimator = field(default_factory=PassTimeEstimator)
     ends: deque[timedelta] = field(default_factory=deque)
     allowance: Allowance = Allowance(timedelta(), 0)
     use: float = 1
     health: GroupHealth = GroupHealth()
-    brief: GroupBrief | None = None
-    brief_at: timedelta = timedelta()
+    summary: GroupBrief | None = None
+    summary_at: timedelta = timedelta()
 
 
-def take_brief(room: GroupRoom, brief: GroupBrief, now: timedelta) -> None:
-    """Take in what the planner found out about a group.
+def take_brief(
+    group: GroupCapacity, summary: GroupBrief, now: timedelta
+) -> None:
+    """Apply the planner's summary of a group.
 
     Args:
-      room: The group.
-      brief: Its state.
+      group: The group.
+      summary: The summary.
       now: The monotonic time.
     """
-    room.brief = brief
-    room.brief_at = now
-    word = GroupWord(now, brief.epoch, brief.is_open)
-    room.health = take_word(room.health, word)
+    group.summary = summary
+    group.summary_at = now
+    announcement = GroupWord(now, summary.epoch, summary.is_open)
+    group.health = take_word(group.health, announcement)
 
 
-def fresh_brief(room: GroupRoom, now: timedelta) -> GroupBrief | None:
-    """Return the planner's brief, unless it is too old to be used.
+def recent_summary(group: GroupCapacity, now: timedelta) -> GroupBrief | None:
+    """Return the planner's summary, unless it is too old to be used.
 
     Args:
-      room: The group.
+      group: The group.
       now: The monotonic time.
 
     Returns:
-      The brief, or None.
+      The summary, or None.
     """
-    return room.brief if now - room.brief_at < _BRIEF_AGE else None
+    return group.summary if now - group.summary_at < _MAX_SUMMARY_AGE else None
 
 
-def opens_in(room: GroupRoom, now: timedelta) -> timedelta | None:
-    """Return when a broken group should be open again.
+def opens_in(group: GroupCapacity, now: timedelta) -> timedelta | None:
+    """Return the time until a broken group should open.
 
     Args:
-      room: The group.
+      group: The group.
       now: The monotonic time.
 
     Returns:
-      The time until then; None if the group is not known to be broken.
+      The time; None if the group is not known to be broken.
     """
-    brief = fresh_brief(room, now)
+    summary = recent_summary(group, now)
     planned = None
-    if brief is not None and not brief.is_open:
-        told = timedelta(milliseconds=brief.opens_in_ms)
-        planned = told - (now - room.brief_at)
-    return expected_opening(room.health, planned, now)
+    if summary is not None and not summary.is_open:
+        announced = timedelta(milliseconds=summary.opens_in_ms)
+        planned = announced - (now - group.summary_at)
+    return expected_opening(group.health, planned, now)
 
 
-def closed_for(
-    room: GroupRoom, count: GroupCount, now: timedelta
+def unavailable_for(
+    group: GroupCapacity, count: GroupCount, now: timedelta
 ) -> timedelta | None:
-    """Return for how long a group takes no streams from this daemon.
+    """Return how long a group accepts no streams from this daemon.
 
     Args:
-      room: The group.
+      group: The group.
       count: Its streams and ranks.
       now: The monotonic time.
 
     Returns:
-      The time until it should; None if nothing is known to be in the way.
+      The time until it should open or the backoff of its ranks ends; None if
+      it is neither known to be broken nor backing off.
     """
-    broken = opens_in(room, now)
+    broken_for = opens_in(group, now)
     if not count.backoff:
-        return broken
-    return max(broken or timedelta(), count.backoff)
+        return broken_for
+    return max(broken_for or timedelta(), count.backoff)
 
 
-def limit_of(
-    room: GroupRoom,
+def group_stream_limit(
+    group: GroupCapacity,
     now: timedelta,
     engine: EngineFigures,
     gap: timedelta,
     ranks: int,
-    others: Sequence[tuple[float, int]],
+    peer_estimates: Sequence[tuple[float, int]],
 ) -> int:
     """Return how many streams may run in a group.
 
     Args:
-      room: The group.
+      group: The group.
       now: The monotonic time.
-      engine: What the engines are said to cost.
+      engine: The configured figures of the engines.
       gap: The longest pause that is in time.
-      ranks: The ranks that may be given work.
-      others: What the other daemons have measured there.
+      ranks: The number of ranks that accept streams.
+      peer_estimates: What each stream adds to a pass, as the other daemons
+        have estimated it: milliseconds, and the number of pauses.
 
     Returns:
       The number of streams.
     """
-    brief = fresh_brief(room, now)
-    skew = brief.skew if brief else USUAL_SKEW
-    measured = [*others, measure(room, now, engine)]
-    return stream_limit(engine, ranks, gap, measured, skew)
+    summary = recent_summary(group, now)
+    skew = summary.skew if summary else USUAL_SKEW
+    estimates = [*peer_estimates, estimate_part(group, now, engine)]
+    return stream_limit(engine, ranks, gap, estimates, skew)
 
 
-def measure(
-    room: GroupRoom, now: timedelta, engine: EngineFigures
+def estimate_part(
+    group: GroupCapacity, now: timedelta, engine: EngineFigures
 ) -> tuple[float, int]:
-    """Return what this daemon has measured of a group's passes.
+    """Return what each stream adds to a pass, by the pauses at this daemon.
 
     Args:
-      room: The group.
+      group: The group.
       now: The monotonic time.
-      engine: What the engines are said to cost.
+      engine: The configured figures of the engines.
 
     Returns:
-      The milliseconds that each stream adds to a pass, and the number of
-      pauses that say so.
+      The milliseconds, and the number of pauses that they are derived from.
     """
-    brief = fresh_brief(room, now)
-    return room.meter.measure(engine, now, brief.skew if brief else 0)
+    summary = recent_summary(group, now)
+    return group.estimator.estimate_part(
+        engine, now, summary.skew if summary else 0
+    )
 
 
 def rate(times: deque[timedelta], now: timedelta) -> float:
-    """Return how many of the times lie in the last second.
+    """Return the number of events per second in the rate window.
 
     Args:
-      times: Monotonic times in order; older ones are dropped.
+      times: The monotonic times of the events in order; expired ones are
+        removed.
       now: The monotonic time.
 
     Returns:
-      The number a second.
+      The number per second.
     """
-    forget(times, now)
+    expire_times(times, now)
     return len(times) / RATE_WINDOW.total_seconds()
 
 
-def forget(times: deque[timedelta], now: timedelta) -> None:
-    """Drop the times that no longer count for a rate.
+def expire_times(times: deque[timedelta], now: timedelta) -> None:
+    """Remove the times that are older than the rate window.
 
     Args:
       times: Monotonic times in order.
--- a/linnetwind/pass_meter.py
+++ b/linnetwind/pass_meter.py
@@ -1,10 +1,10 @@
-"""How many streams a rank group can run with every pause in time.
+"""Estimates how many streams a rank group can run with every pause in time.
 
-All ranks go through each pass together, so one number decides for all
-streams of the group: past it every pass is longer than the pause allowed and
-all streams turn late at once. A pass takes a fixed time and a part for each
-running stream, which depends on the skew of the expert map. The part is
-measured by the pauses between events and followed as it changes.
+All ranks go through each pass together, so one limit holds for all streams of
+a group: above it every pass exceeds the allowed pause and all streams become
+late at once. A pass takes a fixed time and an additional part for each running
+stream, which depends on the skew of the expert map. This part is derived from
+the pauses between events, continuously, so that the limit follows its changes.
 """
 
 from collections import deque
@@ -14,26 +14,26 @@
 
 from linnetwind.routes import EngineFigures
 
-# Pauses that count: as long as a stream lasts. One pause that is too long
-# makes it late, so what matters is the longest pass that it goes through:
-# the one after the experts in demand have shifted.
+# The age up to which pauses count: the duration of a stream. One pause that is
+# too long makes a stream late, so the longest pass of its duration matters,
+# which is the one after the experts in demand have shifted.
 _WINDOW_MS = 2_500
 WINDOW = timedelta(milliseconds=_WINDOW_MS)
-# The part of the pauses in the window that are shorter than the one that
-# decides. The longest ones come from stalls and slow daemons.
-_USUAL_SHARE = 0.9
-# The part of the pause allowed that such a pass may take.
-USE_OF_PAUSE = 0.88
-# The part of the engine's figures that a group is filled to of which nothing
-# was measured: all its streams start at once, and their prompts are read
-# between the events of the others. Filled to all of it after a power loss,
-# two groups ran 84 streams with pauses of 0.14 to 0.18 s where 0.12 was
-# allowed; with 58 the pauses were 0.116 s.
-UNMEASURED_USE = 0.65
-# A measurement is used this long; a pass takes longer.
-_MEASURE_MS = 50
-_MEASURE_AGE = timedelta(milliseconds=_MEASURE_MS)
-# The skew of a map that nobody has planned for.
+# The quantile of the pauses in the window that determines the limit. Longer
+# pauses come from stalls and slow daemons.
+_PAUSE_QUANTILE = 0.9
+# The fraction of the allowed pause that a pass of that quantile may take.
+MAX_PAUSE_FRACTION = 0.88
+# The fraction of the limit by the engine's figures that is used while a group
+# has no pauses yet: all its streams start at once, and their prompts are read
+# between the events of the others. At the full limit after a power loss, two
+# groups ran 84 streams with pauses of 0.14 to 0.18 s where 0.12 s was allowed;
+# with 58 streams the pauses were 0.116 s.
+UNMEASURED_FRACTION = 0.65
+# How long an estimate is used; a pass takes longer than this.
+_ESTIMATE_AGE_MS = 50
+_MAX_ESTIMATE_AGE = timedelta(milliseconds=_ESTIMATE_AGE_MS)
+# The skew that is assumed for a map that no planner has made.
 USUAL_SKEW = 3.0
 
 
@@ -41,7 +41,7 @@
 class Pause:
     """A pause between two events, and the streams that ran in the group.
 
-    `skew` is that of the map in use then, 0 where it is not known.
+    `skew` is the skew of the map that was in use, 0 if it is not known.
     """
 
     at: timedelta
@@ -50,79 +50,80 @@
     skew: float = 0
 
 
-class PassMeter:
-    """The pauses of one service's streams at this daemon."""
+class PassTimeEstimator:
+    """Derives what a stream adds to a pass from this daemon's pauses."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without any pauses."""
         self._pauses: deque[Pause] = deque()
-        self._measured = (float(0), 0)
-        self._measured_at = -_MEASURE_AGE
+        self._estimate = (float(0), 0)
+        self._estimated_at = -_MAX_ESTIMATE_AGE
 
-    def note(self, pause: Pause) -> None:
-        """Take note of a pause.
+    def record(self, pause: Pause) -> None:
+        """Record a pause.
 
         Args:
           pause: A pause between two events of one stream.
         """
         self._pauses.append(pause)
 
-    def measure(
+    def estimate_part(
         self, engine: EngineFigures, now: timedelta, skew: float = 0
     ) -> tuple[float, int]:
         """Return the milliseconds that each stream adds to a pass.
 
-        A pause under a worse map than the present one counts for what it
-        would be now. Otherwise the limit follows a new map only when the
-        pauses before it are forgotten, and for two seconds callers are
-        refused for whom there is room.
+        A pause under a worse map than the present one is scaled to what it
+        would be under the present one. Otherwise the limit would follow a new
+        map only when the pauses before it have left the window, and for two
+        seconds callers would be rejected though there is capacity.
 
         Args:
-          engine: What the engines are said to cost.
+          engine: The configured figures of the engines.
           now: The monotonic time.
           skew: The skew of the map in use, 0 if it is not known.
 
         Returns:
-          The measure of a long pass of the window, and the number of pauses.
+          The milliseconds in a long pass of the window, and the number of
+          pauses that they are derived from.
         """
-        if now - self._measured_at >= _MEASURE_AGE:
-            self._measured_at = now
-            self._measured = self._measure(engine, now, skew)
-        return self._measured
+        if now - self._estimated_at >= _MAX_ESTIMATE_AGE:
+            self._estimated_at = now
+            self._estimate = self._compute(engine, now, skew)
+        return self._estimate
 
-    def _measure(
+    def _compute(
         self, engine: EngineFigures, now: timedelta, skew: float
     ) -> tuple[float, int]:
         while self._pauses and now - self._pauses[0].at > WINDOW:
             self._pauses.popleft()
         if not self._pauses:
             return float(0), 0
-        fixed = engine.steps_per_pass * engine.step_ms
+        fixed_ms = engine.steps_per_pass * engine.step_ms
         parts = sorted(
-            (each.length / timedelta(milliseconds=1) - fixed)
+            (each.length / timedelta(milliseconds=1) - fixed_ms)
             / max(1, each.running)
-            * _eased(engine, each.skew, skew)
+            * _skew_factor(engine, each.skew, skew)
             for each in self._pauses
         )
-        return parts[int(len(parts) * _USUAL_SHARE)], len(parts)
+        return parts[int(len(parts) * _PAUSE_QUANTILE)], len(parts)
 
 
-def _eased(engine: EngineFigures, before: float, now: float) -> float:
-    """Return a pass's time under the present map over that under another.
+def _skew_factor(engine: EngineFigures, before: float, now: float) -> float:
+    """Return the ratio of a pass's times under the present and a former map.
 
     Args:
-      engine: What the engines are said to cost.
-      before: The skew of the map then, 0 if it is not known.
-      now: That of the present map, 0 if it is not known.
+      engine: The configured figures of the engines.
+      before: The skew of the former map, 0 if it is not known.
+      now: The skew of the present map, 0 if it is not known.
 
     Returns:
-      The factor, at most 1.
+      The factor, at most 1; a worse map shows in the pauses themselves.
     """
     if not before or not now or now >= before:
         return 1
-    rest = 1 - engine.expert_share
-    return (rest + engine.expert_share * now) / (
-        rest + engine.expert_share * before
+    other_share = 1 - engine.expert_share
+    return (other_share + engine.expert_share * now) / (
+        other_share + engine.expert_share * before
     )
 
 
@@ -130,40 +131,42 @@
     engine: EngineFigures,
     ranks: int,
     gap: timedelta,
-    measured: Sequence[tuple[float, int]],
+    estimates: Sequence[tuple[float, int]],
     skew: float,
 ) -> int:
     """Return how many streams may run in a group.
 
     Args:
-      engine: What the engines are said to cost.
-      ranks: The ranks of the group.
+      engine: The configured figures of the engines.
+      ranks: The number of ranks of the group.
       gap: The longest pause that is in time.
-      measured: What each daemon has measured, from `PassMeter.measure`. All
-        daemons use the same, so that they admit to the same limit.
+      estimates: The result of `PassTimeEstimator.estimate` of each daemon. All
+        daemons use the same ones, so that they admit to the same limit.
       skew: The skew of the map in use, for a group without any pauses.
 
     Returns:
       The number of streams, at most the slots of all ranks.
     """
-    even = engine.steps_per_pass * engine.sequence_ms / max(1, ranks)
-    seen = sorted(each for each in measured if each[1])
-    if seen:
-        part = _weighted_median(seen)
+    even_ms = engine.steps_per_pass * engine.sequence_ms / max(1, ranks)
+    derived = sorted(each for each in estimates if each[1])
+    if derived:
+        part_ms = _weighted_median(derived)
     else:
-        part = even * (1 - engine.expert_share + engine.expert_share * skew)
-    room = gap / timedelta(milliseconds=1) * USE_OF_PAUSE
-    room -= engine.steps_per_pass * engine.step_ms
-    limit = min(room / max(part, even), ranks * engine.slots)
-    return max(1, int(limit if seen else limit * UNMEASURED_USE))
+        part_ms = even_ms * (
+            1 - engine.expert_share + engine.expert_share * skew
+        )
+    available_ms = gap / timedelta(milliseconds=1) * MAX_PAUSE_FRACTION
+    available_ms -= engine.steps_per_pass * engine.step_ms
+    limit = min(available_ms / max(part_ms, even_ms), ranks * engine.slots)
+    return max(1, int(limit if derived else limit * UNMEASURED_FRACTION))
 
 
-def _weighted_median(seen: Sequence[tuple[float, int]]) -> float:
-    """Return the median part, so that one slow daemon does not decide."""
-    half = sum(count for _part, count in seen) / 2
+def _weighted_median(estimates: Sequence[tuple[float, int]]) -> float:
+    """Return the median estimate by pauses, robust against one slow daemon."""
+    half = sum(count for _part, count in estimates) / 2
     passed = 0
-    for part, count in seen:
+    for part, count in estimates:
         passed += count
         if passed >= half:
             return part
-    return seen[-1][0]
+    return estimates[-1][0]
--- a/linnetwind/place_shares.py
+++ b/linnetwind/place_shares.py
@@ -1,11 +1,12 @@
-"""Which part of a group's free places a daemon may fill.
-
-The load that this answers: many daemons see the same few places become free,
-each with news of the others that is some tenths of a second old. If each
-fills what it sees, the group runs as many streams too many as there are
-daemons, again and again. A daemon may therefore only replace its own streams
-that have ended, and take its part of what is free by the demand that each
-daemon has; the part is worked out once for each state that the others send.
+"""Divides the free permits of a rank group among the daemons.
+
+Many daemons see the same few permits become free, each with states of the
+others that are some tenths of a second old. If each daemon used all permits
+that it sees, the group would run as many streams too many as there are
+daemons, again and again. A daemon may therefore only replace those of its own
+streams that have ended, and use a share of the free permits in proportion to
+its part of the demand. The share is computed once for each interval at which
+the peers send their states.
 """
 
 from collections.abc import Sequence
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """The streams of one service that ask for places at a daemon."""
+    """The streams of one service that ask a daemon for permits."""
 
     waiting: int
     arrivals_per_s: float
@@ -24,42 +25,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """How many streams a daemon may run, worked out at a monotonic time."""
+    """How many streams a daemon may run in a group.
+
+    `at` is the monotonic time at which this was computed.
+    """
 
     at: timedelta
-    most: int
+    max_streams: int
 
 
 def own_share(
     own: Demand, others: Sequence[Demand], window: timedelta
 ) -> float:
-    """Return this daemon's part of the places that become free.
+    """Return this daemon's share of the permits that become free.
 
     Args:
       own: This daemon's demand.
       others: The demand of each other daemon.
-      window: For how long the part is used.
+      window: How long the share is used.
 
     Returns:
-      A share from 0 to 1; even if nobody has any demand.
+      A share from 0 to 1; an equal share if no daemon has any demand.
     """
     weight = _weight(own, window)
     total = weight + sum(_weight(each, window) for each in others)
     return weight / total if total else 1 / (1 + len(others))
 
 
-def allow(
+def compute_allowance(
     now: timedelta, running: int, free: int, share: float, rounding: float
 ) -> Allowance:
-    """Return how many streams a daemon may run until it hears more.
+    """Return how many streams a daemon may run until the next states arrive.
 
     Args:
       now: The monotonic time.
       running: The streams that run at this daemon.
-      free: The places free in the group; below 0 if too many are taken.
-      share: This daemon's part of them.
-      rounding: A random number from 0 to 1, so that parts of a place are
-        taken by as many daemons as there are places.
+      free: The free permits of the group, below 0 if it runs too many streams.
+      share: This daemon's share of the free permits.
+      rounding: A random number from 0 to 1. It rounds fractions of a permit so
+        that about as many daemons use one as there are permits.
 
     Returns:
       The allowance.
--- a/linnetwind/ranks_by_group.py
+++ b/linnetwind/ranks_by_group.py
@@ -1,4 +1,4 @@
-"""The ranks of a service by their groups, sorted when something has changed."""
+"""Sorts the ranks of a service by their groups, when something has changed."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -10,52 +10,52 @@
 
 @dataclass(frozen=True, slots=True)
 class SortedRanks:
-    """Upstreams by their groups, and what they were sorted by.
+    """Upstreams by group, and the inputs of this sorting.
 
-    It serves until one of these is another object. Sorted at each event of
-    each stream, upstreams were part of 1 ms of processor for each event (192
-    ranks, 35 daemons; now 0.02 ms).
+    It is valid until one of the inputs is another object. Sorting the
+    upstreams at each event of each stream was part of 1 ms of processor time
+    per event with 192 ranks and 35 daemons; with this cache it is 0.02 ms.
     """
 
     upstreams: Sequence[Upstream]
     group_of: Mapping[Life, str]
-    is_told: bool
+    has_summary: bool
     by_group: Mapping[str, list[Upstream]]
 
-    def serves(
+    def is_valid_for(
         self,
         upstreams: Sequence[Upstream],
         group_of: Mapping[Life, str],
         *,
-        is_told: bool,
+        has_summary: bool,
     ) -> bool:
-        """Return whether nothing has changed since.
+        """Return whether the inputs are unchanged.
 
         Args:
           upstreams: The upstreams to sort.
-          group_of: The group of each life.
-          is_told: Whether a planner has spoken of the groups lately.
+          group_of: The group of each incarnation of an upstream.
+          has_summary: Whether a planner has sent a summary of a group lately.
 
         Returns:
-          Whether `by_group` still holds.
+          Whether `by_group` is still valid.
         """
         same = upstreams is self.upstreams and group_of is self.group_of
-        return same and is_told == self.is_told
+        return same and has_summary == self.has_summary
 
 
 def sort_ranks(
     upstreams: Sequence[Upstream],
     group_of: Mapping[Life, str],
     *,
-    is_told: bool,
+    has_summary: bool,
 ) -> SortedRanks:
     """Sort upstreams by their rank groups.
 
     Args:
       upstreams: Upstreams of one service.
-      group_of: The group of each life.
-      is_told: Whether a planner has spoken of the groups lately. If so, ranks
-        of no group are left out, unless there are no others.
+      group_of: The group of each incarnation of an upstream.
+      has_summary: Whether a planner has sent a summary of a group lately. If
+        so, ranks without a group are left out, unless all are without one.
 
     Returns:
       The upstreams by group.
@@ -64,6 +64,6 @@
     for upstream in upstreams:
         group = group_of.get(upstream.life, UNNAMED)
         by_group.setdefault(group, []).append(upstream)
-    if is_told and len(by_group) > 1:
+    if has_summary and len(by_group) > 1:
         by_group.pop(UNNAMED, None)
-    return SortedRanks(upstreams, group_of, is_told, by_group)
+    return SortedRanks(upstreams, group_of, has_summary, by_group)
--- a/linnetwind/service_room.py
+++ b/linnetwind/service_room.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of one service's streams, and what it makes of it."""
+"""The capacity of one service for streams, as one daemon knows it."""
 
 from collections import deque
 from collections.abc import Mapping, Sequence
@@ -6,40 +6,46 @@
 from datetime import timedelta
 
 from linnetwind.group_room import (
-    GROUP_GONE,
+    GROUP_EXPIRY,
+    GroupCapacity,
     GroupCount,
-    GroupRoom,
-    closed_for,
-    measure,
+    estimate_part,
     rate,
+    unavailable_for,
 )
 from linnetwind.lives import Life
 from linnetwind.peer_book import PassPart, StreamLoad
 from linnetwind.place_shares import Demand, own_share
 from linnetwind.ranks_by_group import SortedRanks
 from linnetwind.routes import EngineFigures
-from linnetwind.stream_gate import GroupView, hold_back, reserve
-from linnetwind.waiting_line import WaitingLine
+from linnetwind.stream_gate import (
+    GroupView,
+    reserve_for_arrivals,
+    reserve_for_newcomers,
+)
+from linnetwind.waiting_line import WaitQueue
 
-# The starts that count for the time of the next one, and the part of them
-# that is shorter.
+# The number of recent starts from which the time of the next one is estimated,
+# and the quantile of their times that is the estimate.
 _STARTS = 24
-_USUAL_SHARE = 0.9
-# Before any: a pass under way, then one that reads the prompt and writes.
+_START_QUANTILE = 0.9
+# The estimate before any start: the rest of a pass that is in progress, and
+# one that reads the prompt and generates the first output.
 _FIRST_START_MS = 200
 _FIRST_START = timedelta(milliseconds=_FIRST_START_MS)
-# A daemon that has just started waits so long for a planner's word of the
-# groups. After a power loss all daemons start before the groups have formed;
-# what is sent to their ranks then is refused. One stream at a time is sent all
-# the same: where only the daemons had ended, its first event shows that the
-# group runs.
-_FIRST_WORD_MS = 1000
-_FIRST_WORD = timedelta(milliseconds=_FIRST_WORD_MS)
-_SCOUTS = 1
-# A rank of a group that forms refuses at once; each stream in line would be
-# sent in turn, and all of them be refused.
-_SCOUT_PAUSE_MS = 300
-_SCOUT_PAUSE = timedelta(milliseconds=_SCOUT_PAUSE_MS)
+# How long a daemon that has just started waits for a planner's first summary
+# of a group. After a power loss all daemons start before the groups have
+# formed, and ranks refuse streams until then. One probe stream at a time is
+# admitted nevertheless: if only the daemons had stopped, its first event shows
+# that the group runs streams.
+_SUMMARY_WAIT_MS = 1000
+_SUMMARY_WAIT = timedelta(milliseconds=_SUMMARY_WAIT_MS)
+_PROBES = 1
+# The time between probes. A rank of a group that is still forming refuses at
+# once, so without this delay each queued stream in turn would become a probe
+# and be refused.
+_PROBE_INTERVAL_MS = 300
+_PROBE_INTERVAL = timedelta(milliseconds=_PROBE_INTERVAL_MS)
 
 
 def _no_starts() -> deque[timedelta]:
@@ -47,152 +53,164 @@
 
 
 @dataclass
-class ServiceRoom:
-    """What is known of one service; `group_of` is told by its planner.
-
-    `arrivals` are those of all streams, `newcomers` those of callers that were
-    not refused before. `asked_at` is the monotonic time at which a stream
-    first asked for a place, `scouted_at` that at which one was last seen to
-    run before any word of a planner.
+class ServiceCapacity:
+    """The state of a service from which its free permits are computed.
+
+    `arrivals` are the monotonic times at which streams arrived, `newcomers`
+    those of streams that are no retries of rejected callers. `starts` are the
+    durations from a stream's start to its first event. `group_of`, the group
+    of each incarnation of a rank, comes from the summaries of the planner.
+    `first_asked_at` is the monotonic time at which a stream first asked for a
+    permit, `probed_at` that at which a stream was last running before the
+    first summary of a planner.
     """
 
-    line: WaitingLine
+    queue: WaitQueue
     arrivals: deque[timedelta] = field(default_factory=deque)
     newcomers: deque[timedelta] = field(default_factory=deque)
     starts: deque[timedelta] = field(default_factory=_no_starts)
     engine: EngineFigures | None = None
-    groups: dict[str, GroupRoom] = field(default_factory=dict)
+    groups: dict[str, GroupCapacity] = field(default_factory=dict)
     group_of: dict[Life, str] = field(default_factory=dict)
     sorted_ranks: SortedRanks | None = None
-    asked_at: timedelta | None = None
-    scouted_at: timedelta | None = None
+    first_asked_at: timedelta | None = None
+    probed_at: timedelta | None = None
 
 
-def forget_groups(room: ServiceRoom, now: timedelta) -> None:
-    """Drop the groups of which no planner has spoken for long.
+def expire_groups(service: ServiceCapacity, now: timedelta) -> None:
+    """Remove the groups of which no planner has sent a summary for long.
 
     Args:
-      room: The service.
+      service: The service.
       now: The monotonic time.
     """
-    for name, group in tuple(room.groups.items()):
-        if group.brief is not None and now - group.brief_at > GROUP_GONE:
-            room.groups.pop(name)
+    for name, group in tuple(service.groups.items()):
+        if group.summary is not None and now - group.summary_at > GROUP_EXPIRY:
+            service.groups.pop(name)
 
 
-def view_of(
-    room: ServiceRoom, counts: Mapping[str, GroupCount], now: timedelta
+def capacity_view(
+    service: ServiceCapacity, counts: Mapping[str, GroupCount], now: timedelta
 ) -> GroupView:
-    """Return what a stream that asks for a place has to know.
+    """Return the capacity on which the admission of a stream is decided.
 
     Args:
-      room: The service.
-      counts: The streams that run in each group; each is known in the room.
+      service: The service.
+      counts: The streams that run in each group; the service's state has to
+        hold each of these groups.
       now: The monotonic time.
 
     Returns:
-      The view of all groups together.
+      The capacity of all groups together.
     """
-    if _awaits_first_word(room, now):
-        return _untold_view(room, counts, now)
-    groups = {name: room.groups[name] for name in counts}
+    if _awaits_first_summary(service, now):
+        return _view_without_summary(service, counts, now)
+    groups = {name: service.groups[name] for name in counts}
     waits = {
-        name: closed_for(each, counts[name], now)
+        name: unavailable_for(each, counts[name], now)
         for name, each in groups.items()
     }
     open_groups = [name for name, wait in waits.items() if wait is None]
     free = sum(
-        max(0, groups[name].allowance.most - counts[name].own_running)
+        max(0, groups[name].allowance.max_streams - counts[name].own_running)
         for name in open_groups
     )
     ends = sum(rate(groups[name].ends, now) for name in open_groups)
     closed = [(wait, name) for name, wait in waits.items() if wait is not None]
     soonest, first = (None, None) if open_groups or not closed else min(closed)
     reserved = max(
-        reserve(free, rate(room.arrivals, now), ends),
-        hold_back(rate(room.newcomers, now)),
+        reserve_for_arrivals(free, rate(service.arrivals, now), ends),
+        reserve_for_newcomers(rate(service.newcomers, now)),
     )
     return GroupView(
         free,
         ends,
-        _start_time(room),
+        _start_time(service),
         soonest,
         reserved,
         is_backoff=first is not None and soonest == counts[first].backoff,
     )
 
 
-def load_of(service: str, room: ServiceRoom, now: timedelta) -> StreamLoad:
-    """Return what this daemon tells its peers of a service's streams.
+def stream_load(
+    name: str, service: ServiceCapacity, now: timedelta
+) -> StreamLoad:
+    """Return what this daemon advertises to its peers of a service's streams.
 
     Args:
-      service: The service's name.
-      room: What is known of it.
+      name: The service's name.
+      service: The service.
       now: The monotonic time.
 
     Returns:
-      Its demand and what it has measured in each group.
+      The demand at this daemon, and its estimates of each group's pass time.
     """
-    demand = _demand(room, now)
+    demand = _demand(service, now)
     parts = [
-        PassPart(name, *measure(each, now, room.engine))
-        for name, each in room.groups.items()
+        PassPart(group, *estimate_part(each, now, service.engine))
+        for group, each in service.groups.items()
     ]
     return StreamLoad(
-        service,
+        name,
         demand.waiting,
         demand.arrivals_per_s,
         tuple(each for each in parts if each.pauses),
     )
 
 
-def share_of(
-    room: ServiceRoom,
+def permit_share(
+    service: ServiceCapacity,
     now: timedelta,
     loads: Sequence[StreamLoad],
     window: timedelta,
 ) -> float:
-    """Return this daemon's part of the places that become free.
+    """Return this daemon's share of the permits that become free.
 
     Args:
-      room: The service.
+      service: The service.
       now: The monotonic time.
-      loads: What the other daemons have told of it.
-      window: For how long the part is used.
+      loads: What the other daemons have advertised of the service's streams.
+      window: How long the share is used.
 
     Returns:
       A share from 0 to 1.
     """
     others = [Demand(each.waiting, each.arrivals_per_s) for each in loads]
-    return own_share(_demand(room, now), others, window)
+    return own_share(_demand(service, now), others, window)
 
 
-def _demand(room: ServiceRoom, now: timedelta) -> Demand:
-    return Demand(room.line.length, rate(room.arrivals, now))
+def _demand(service: ServiceCapacity, now: timedelta) -> Demand:
+    return Demand(service.queue.length, rate(service.arrivals, now))
 
 
-def _untold_view(
-    room: ServiceRoom, counts: Mapping[str, GroupCount], now: timedelta
+def _view_without_summary(
+    service: ServiceCapacity, counts: Mapping[str, GroupCount], now: timedelta
 ) -> GroupView:
-    """Return the view of a service of whose groups nobody has told yet."""
-    forming = timedelta(milliseconds=room.engine.form_ms)
+    """Return the capacity before any planner has sent a summary of a group."""
+    forming = timedelta(milliseconds=service.engine.form_ms)
     running = sum(each.own_running for each in counts.values())
     if running:
-        room.scouted_at = now
-    rests = room.scouted_at is not None and now - room.scouted_at < _SCOUT_PAUSE
-    scouts = 0 if rests else _SCOUTS
-    return GroupView(0, 0, _start_time(room), forming, scouts=scouts)
+        service.probed_at = now
+    probed_lately = (
+        service.probed_at is not None
+        and now - service.probed_at < _PROBE_INTERVAL
+    )
+    probes = 0 if probed_lately else _PROBES
+    return GroupView(0, 0, _start_time(service), forming, probes=probes)
 
 
-def _awaits_first_word(room: ServiceRoom, now: timedelta) -> bool:
-    if room.engine is None or not room.engine.layers:
+def _awaits_first_summary(service: ServiceCapacity, now: timedelta) -> bool:
+    if service.engine is None or not service.engine.layers:
         return False
-    if room.starts or any(each.brief for each in room.groups.values()):
+    if service.starts or any(each.summary for each in service.groups.values()):
         return False
-    return room.asked_at is not None and now - room.asked_at < _FIRST_WORD
+    return (
+        service.first_asked_at is not None
+        and now - service.first_asked_at < _SUMMARY_WAIT
+    )
 
 
-def _start_time(room: ServiceRoom) -> timedelta:
-    if not room.starts:
+def _start_time(service: ServiceCapacity) -> timedelta:
+    if not service.starts:
         return _FIRST_START
-    return sorted(room.starts)[int(len(room.starts) * _USUAL_SHARE)]
+    return sorted(service.starts)[int(len(service.starts) * _START_QUANTILE)]
--- a/linnetwind/stream_gate.py
+++ b/linnetwind/stream_gate.py
@@ -1,46 +1,49 @@
-"""Which streams run now, which wait, and which are turned away at once.
-
-The load that this answers: more streams than a rank group can run with every
-pause in time. Without a limit all of them turn late together. A stream waits
-only while its first event can still be in time; one that could not is
-refused at once and told when there will be room, so that the caller's wait
-is used instead of lost. A caller that comes back then may wait longer: its
-answer is late in any case, and refused twice it gets none. While a group is
-broken, streams wait for it if it opens soon enough.
+"""Decides which streams are admitted, queued or rejected.
+
+Handles a demand for more streams than a rank group can run with every pause
+between events in time: without a limit all streams of the group become late
+together. A stream is queued only while its first event can still be in time.
+One that cannot be in time is rejected at once with the time after which there
+should be capacity, so that its caller waits elsewhere instead of using up its
+time in the queue. The retry of a rejected caller may be queued for longer: its
+response is late in any case, and a caller that is rejected twice gets none.
+While a group is broken, streams are queued for it if it should open soon
+enough.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-# The shortest and longest time after which a refused caller may come back.
-_LEAST_RETRY_MS = 300
-LEAST_RETRY = timedelta(milliseconds=_LEAST_RETRY_MS)
-_MOST_RETRY_MS = 2500
-MOST_RETRY = timedelta(milliseconds=_MOST_RETRY_MS)
-# How long a caller that came back may wait for its place. Callers give up a
+# Bounds of the time after which a rejected caller is asked to retry.
+_MIN_RETRY_AFTER_MS = 300
+MIN_RETRY_AFTER = timedelta(milliseconds=_MIN_RETRY_AFTER_MS)
+_MAX_RETRY_AFTER_MS = 2500
+MAX_RETRY_AFTER = timedelta(milliseconds=_MAX_RETRY_AFTER_MS)
+# How long the retry of a rejected caller may be queued. Callers give up a
 # stream that shows nothing for two seconds; the rest is for its first event.
-_RETURN_WAIT_S = 1.6
-RETURN_WAIT = timedelta(seconds=_RETURN_WAIT_S)
-# By so much sooner than expected a group may open.
+_MAX_RETRY_WAIT_S = 1.6
+MAX_RETRY_WAIT = timedelta(seconds=_MAX_RETRY_WAIT_S)
+# How much earlier than estimated a broken group may open.
 _ESTIMATE_SLACK_MS = 500
 _ESTIMATE_SLACK = timedelta(milliseconds=_ESTIMATE_SLACK_MS)
-# For whom places are left free: the newcomers of this time, about as long as
-# one of them can wait and still be in time.
-_NEXT_MS = 300
-_NEXT = timedelta(milliseconds=_NEXT_MS)
+# Retries leave permits free for the newcomers of this time, which is about as
+# long as a newcomer can be queued and still be in time.
+_NEWCOMER_WINDOW_MS = 300
+_NEWCOMER_WINDOW = timedelta(milliseconds=_NEWCOMER_WINDOW_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """What is known of a group when a stream asks to run.
-
-    `free` counts the places that this daemon may fill now, below 0 if it has
-    too many streams there; `ends_per_s` the streams of this daemon that end
-    in a second. `start_time` passes from a stream's start to its first event.
-    `opens_in` is set while the group cannot run at all; `scouts` streams may
-    run then to find out whether it can. `reserved` of the free places are left
-    to streams that can be in time. `is_backoff` says that the group is sound
-    but its ranks want no streams until `opens_in`, which is no estimate then.
+    """The capacity of a service's rank groups when a stream asks for a permit.
+
+    `free` counts the permits that this daemon may use now; it is below 0 if
+    the daemon runs too many streams. `ends_per_s` is the number of its streams
+    that end per second, `start_time` the time from a stream's start to its
+    first event. `opens_in` is set while no group can run streams; `probes`
+    streams may run then to find out whether one can. `reserved` of the free
+    permits are left to streams that can be in time. `is_backoff` says that the
+    group is healthy but all its ranks have asked for a backoff until
+    `opens_in`, which is exact then and no estimate.
     """
 
     free: int
@@ -48,18 +51,18 @@
     start_time: timedelta
     opens_in: timedelta | None
     reserved: int = 0
-    scouts: int = 0
+    probes: int = 0
     is_backoff: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A stream that asks to run.
+    """A stream that asks for a permit.
 
-    `ahead` streams go before it in its line. `target` is the latency of a
-    first event that is on time, and `returning` says that the caller was
-    refused before and told to return, or has waited for a broken group; its
-    answer is late in any case.
+    `ahead` streams precede it in the wait queue. `target` is the latency up to
+    which a first event is on time. `returning` says that this is the retry of
+    a rejected caller, or that the stream was queued for a broken group; its
+    response is late in either case.
     """
 
     ahead: int
@@ -69,129 +72,133 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunNow:
+class AdmitStream:
     """The stream may run."""
 
 
 @dataclass(frozen=True, slots=True)
-class WaitFor:
-    """The stream may wait so long for a place."""
+class QueueStream:
+    """The stream may wait for a permit, for at most `max_wait`."""
 
-    most: timedelta
+    max_wait: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
-    """The stream is refused; there should be room after that time."""
+    """The stream is rejected; there should be capacity after `retry_after`."""
 
     retry_after: timedelta
     reason: str
 
 
-Verdict = RunNow | WaitFor | TurnAway
-# Of a stream in line when the daemon has no time left; when its caller may
-# come back is for the stop to say.
+AdmissionDecision = AdmitStream | QueueStream | TurnAway
+# The decision on a queued stream when the daemon stops before the stream could
+# end. The shutdown, not this module, determines when its caller may retry.
 STOPPING = TurnAway(timedelta(), 'the daemon is stopping')
 
 
-def judge(view: GroupView, waiter: Waiter) -> Verdict:
-    """Decide whether a stream runs, waits or is turned away.
+def decide_admission(view: GroupView, stream: Waiter) -> AdmissionDecision:
+    """Decide whether a stream is admitted, queued or rejected.
 
     Args:
-      view: What is known of the group.
-      waiter: The stream.
+      view: The capacity of the service's groups.
+      stream: The stream.
 
     Returns:
-      The verdict.
+      The decision.
     """
     if view.opens_in is not None:
-        if view.scouts > waiter.ahead:
-            return RunNow()
-        return _await_group(view, waiter)
-    most = RETURN_WAIT
-    if not waiter.returning:
-        most = waiter.target - view.start_time
-    left = most - waiter.waited
-    open_places = view.free - view.reserved * waiter.returning
-    if open_places > waiter.ahead:
-        return RunNow()
-    places = waiter.ahead + 1 - view.free
-    wait = timedelta(seconds=places / max(view.ends_per_s, 1))
-    hopeless = not waiter.waited and wait > left and not waiter.returning
-    if hopeless or left <= timedelta():
-        return _turn_away(wait, 'no room in time')
-    return WaitFor(left)
-
-
-def reserve(free: int, arrivals_per_s: float, ends_per_s: float) -> int:
-    """Return the places that late streams leave to those that come next.
-
-    When a group opens after a power loss, those that waited for it would take
-    all places. None comes free for a second then, since all have begun at
-    once, and newcomers would be late in turn. While as many streams end as
-    come, nothing is reserved.
+        if view.probes > stream.ahead:
+            return AdmitStream()
+        return _decide_while_closed(view, stream)
+    max_wait = MAX_RETRY_WAIT
+    if not stream.returning:
+        max_wait = stream.target - view.start_time
+    wait_left = max_wait - stream.waited
+    usable_permits = view.free - view.reserved * stream.returning
+    if usable_permits > stream.ahead:
+        return AdmitStream()
+    missing_permits = stream.ahead + 1 - view.free
+    wait = timedelta(seconds=missing_permits / max(view.ends_per_s, 1))
+    hopeless = not stream.waited and wait > wait_left and not stream.returning
+    if hopeless or wait_left <= timedelta():
+        return _reject(wait, 'no room in time')
+    return QueueStream(wait_left)
+
+
+def reserve_for_arrivals(
+    free: int, arrivals_per_s: float, ends_per_s: float
+) -> int:
+    """Return the permits that late streams leave to those that arrive next.
+
+    When a group opens after a power loss, the streams queued for it would take
+    all permits. Since all of them start at once, no permit is released for a
+    second, and newcomers would become late as well. Nothing is reserved while
+    as many streams end as arrive.
 
     Args:
-      free: The places that this daemon may fill.
-      arrivals_per_s: The streams that have come in the last second.
-      ends_per_s: Those that have ended in it.
+      free: The permits that this daemon may use.
+      arrivals_per_s: The streams that arrived in the last second.
+      ends_per_s: The streams that ended in the last second.
 
     Returns:
-      What the next second lacks, at most half of the free places: the late
-      ones have one try left at most.
+      The number of permits that the next second lacks, at most half of the
+      free ones: late streams have at most one retry left.
     """
     lacking = max(0, arrivals_per_s - ends_per_s)
     return max(0, min(free // 2, int(lacking)))
 
 
-def hold_back(newcomers_per_s: float) -> int:
-    """Return the places that late streams leave free for the next newcomers.
+def reserve_for_newcomers(newcomers_per_s: float) -> int:
+    """Return the permits that retries leave free for the next newcomers.
 
-    In an overload a newcomer can hardly wait. If those that came back took
-    each place as it became free, it would find none and come back in turn.
-    Fewer streams make the passes shorter, so that hardly less is served.
+    In an overload a newcomer can hardly wait. If retries took each permit as
+    it is released, newcomers would find none and become retries themselves.
+    Running fewer streams makes passes shorter, so the reserve reduces the
+    throughput only slightly.
 
     Args:
-      newcomers_per_s: The streams that came for the first time in the last
-        second.
+      newcomers_per_s: The streams of the last second that are no retries.
 
     Returns:
-      The places; none where each of hundreds of daemons has few callers.
+      The number of permits; 0 where each of hundreds of daemons has few
+      callers.
     """
-    return int(newcomers_per_s * _NEXT.total_seconds())
+    return int(newcomers_per_s * _NEWCOMER_WINDOW.total_seconds())
 
 
-def _await_group(view: GroupView, waiter: Waiter) -> Verdict:
-    """Decide on a stream whose group cannot run.
+def _decide_while_closed(view: GroupView, stream: Waiter) -> AdmissionDecision:
+    """Decide on a stream while no group of its service can run streams.
 
-    After a power loss all that was under way comes back before the groups have
-    formed anew. Refused then, most callers have used up their second try and
-    get no answer.
+    After a power loss the callers of all interrupted streams retry before the
+    groups have formed again. If these retries were rejected, most callers
+    would have used up their last try and get no response.
     """
-    left = RETURN_WAIT - waiter.waited
-    # A caller that came back has no try left, and the time is an estimate.
-    is_estimate = waiter.returning and not view.is_backoff
+    wait_left = MAX_RETRY_WAIT - stream.waited
+    # The retry of a caller is its last try, and the time of a group's opening
+    # is only an estimate.
+    is_estimate = stream.returning and not view.is_backoff
     slack = _ESTIMATE_SLACK if is_estimate else timedelta()
-    if left > timedelta() and view.opens_in < left + slack:
-        return WaitFor(left)
+    if wait_left > timedelta() and view.opens_in < wait_left + slack:
+        return QueueStream(wait_left)
     if view.is_backoff:
         return TurnAway(
-            max(view.opens_in, LEAST_RETRY), 'all ranks want no streams'
+            max(view.opens_in, MIN_RETRY_AFTER), 'all ranks want no streams'
         )
-    return _turn_away(view.opens_in, 'group is broken')
+    return _reject(view.opens_in, 'group is broken')
 
 
-def _turn_away(wait: timedelta, reason: str) -> TurnAway:
+def _reject(wait: timedelta, reason: str) -> TurnAway:
     return TurnAway(bounded_retry(wait), reason)
 
 
 def bounded_retry(wait: timedelta) -> timedelta:
-    """Return when a caller may come back that would be served after a time.
+    """Clamp an estimated wait to the bounds of a retry time.
 
     Args:
-      wait: The time.
+      wait: The time after which the caller could be served.
 
     Returns:
-      The time, within what callers keep to.
+      The time after which the caller may retry.
     """
-    return min(max(wait, LEAST_RETRY), MOST_RETRY)
+    return min(max(wait, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
--- a/linnetwind/stream_gate_test.py
+++ b/linnetwind/stream_gate_test.py
@@ -1,111 +1,122 @@
-"""Tests of which streams run, wait and are turned away."""
+"""Tests of the decisions to admit, queue and reject streams."""
 
 from dataclasses import replace
 
 from linnetwind.stream_gate import (
-    LEAST_RETRY,
-    MOST_RETRY,
-    RETURN_WAIT,
-    RunNow,
+    MAX_RETRY_AFTER,
+    MAX_RETRY_WAIT,
+    MIN_RETRY_AFTER,
+    AdmitStream,
+    QueueStream,
     TurnAway,
-    WaitFor,
-    judge,
-    reserve,
+    decide_admission,
+    reserve_for_arrivals,
 )
 from standins.gateway_fixtures import MS
 from standins.stream_fixtures import FIRST, VIEW
 
 
-def test_a_stream_runs_while_there_is_room():
-    assert judge(VIEW, FIRST) == RunNow()
+def test_a_stream_is_admitted_while_permits_are_free():
+    assert decide_admission(VIEW, FIRST) == AdmitStream()
 
 
-def test_a_stream_waits_if_a_place_comes_in_time():
+def test_a_stream_is_queued_if_a_permit_is_released_in_time():
     full = replace(VIEW, free=0)
-    assert judge(full, FIRST) == WaitFor(300 * MS)
+    assert decide_admission(full, FIRST) == QueueStream(300 * MS)
 
 
-def test_a_stream_that_would_be_late_is_refused_at_once():
-    # Twenty streams wait already and places come free 40 times a second: this
-    # one would begin after its target. It is told when there will be room
-    # instead of being held until its time is over.
+def test_a_stream_that_would_be_late_is_rejected_at_once():
+    # Twenty streams are queued and 40 permits are released per second, so this
+    # stream would start after its target. Its caller gets a retry time instead
+    # of waiting until its time is over.
     full = replace(VIEW, free=0)
     last = replace(FIRST, ahead=20)
-    verdict = judge(full, last)
-    assert isinstance(verdict, TurnAway)
-    assert LEAST_RETRY <= verdict.retry_after <= MOST_RETRY
+    decision = decide_admission(full, last)
+    assert isinstance(decision, TurnAway)
+    assert MIN_RETRY_AFTER <= decision.retry_after <= MAX_RETRY_AFTER
 
 
-def test_a_caller_that_came_back_waits_where_others_are_refused():
-    # The group is over its limit after a stall. A caller that was told to
-    # return is late in any case; refused again it would get nothing.
+def test_a_retry_is_queued_where_newcomers_are_rejected():
+    # The group is over its limit after a stall. The response to a retry is
+    # late in any case, and a caller that is rejected again gets none.
     over = replace(VIEW, free=-32)
     returning = replace(FIRST, returning=True)
-    assert isinstance(judge(over, FIRST), TurnAway)
-    assert isinstance(judge(over, returning), WaitFor)
+    assert isinstance(decide_admission(over, FIRST), TurnAway)
+    assert isinstance(decide_admission(over, returning), QueueStream)
 
 
-def test_a_wait_that_did_not_help_ends():
+def test_a_queued_stream_is_rejected_when_its_wait_is_over():
     full = replace(VIEW, free=0)
-    assert isinstance(judge(full, replace(FIRST, waited=301 * MS)), TurnAway)
+    assert isinstance(
+        decide_admission(full, replace(FIRST, waited=301 * MS)), TurnAway
+    )
 
 
-def test_a_stream_that_waits_is_still_in_time_when_it_starts():
-    # Passes are long, so that a first event comes 0.35 s after the start. In
-    # an overload that lasts, streams wait as long as they may: with 0.2 s
-    # taken for the start, half of all that were served were late by a little.
+def test_the_maximum_wait_leaves_time_for_the_first_event():
+    # Passes are long, so a first event comes 0.35 s after the start. In a
+    # lasting overload streams are queued for as long as allowed: with 0.2 s
+    # assumed for the start, half of the served streams were slightly late.
     slow = replace(VIEW, free=0, start_time=350 * MS)
-    assert judge(slow, FIRST) == WaitFor(150 * MS)
+    assert decide_admission(slow, FIRST) == QueueStream(150 * MS)
     waited = replace(FIRST, waited=151 * MS)
-    assert isinstance(judge(slow, waited), TurnAway)
+    assert isinstance(decide_admission(slow, waited), TurnAway)
 
 
-def test_a_group_that_opens_too_late_refuses_until_it_opens():
+def test_a_group_that_opens_too_late_rejects_until_it_opens():
     broken = replace(VIEW, opens_in=1700 * MS)
-    assert judge(broken, FIRST) == TurnAway(1700 * MS, 'group is broken')
+    assert decide_admission(broken, FIRST) == TurnAway(
+        1700 * MS, 'group is broken'
+    )
     returning = replace(FIRST, returning=True)
-    assert isinstance(judge(broken, returning), WaitFor)
+    assert isinstance(decide_admission(broken, returning), QueueStream)
 
 
-def test_streams_wait_for_a_group_that_opens_soon():
-    # All hosts lose power. Callers come back 0.8 s before the groups have
-    # formed anew, most with their second and last try. Refused, they have no
-    # answer; a stream that waits is late, but whole.
+def test_streams_are_queued_for_a_group_that_opens_soon():
+    # After a power loss of all hosts, callers retry 0.8 s before the groups
+    # have formed again, most of them for the last time. A rejected caller gets
+    # no response; a queued stream is late but complete.
     broken = replace(VIEW, opens_in=800 * MS)
-    assert judge(broken, FIRST) == WaitFor(RETURN_WAIT)
-    waited = replace(FIRST, waited=RETURN_WAIT - 700 * MS)
-    assert judge(broken, waited) == TurnAway(800 * MS, 'group is broken')
-
-
-def test_late_streams_leave_places_to_those_who_come_next():
-    # Groups open after a power loss, and sixty streams that waited are late
-    # already. All begin at once, so that no place comes free for a second:
-    # if they take every place, all who come in that second are late too.
-    opened = replace(VIEW, free=60, reserved=reserve(60, 40, 0))
+    assert decide_admission(broken, FIRST) == QueueStream(MAX_RETRY_WAIT)
+    waited = replace(FIRST, waited=MAX_RETRY_WAIT - 700 * MS)
+    assert decide_admission(broken, waited) == TurnAway(
+        800 * MS, 'group is broken'
+    )
+
+
+def test_late_streams_leave_permits_to_the_next_arrivals():
+    # Groups open after a power loss, and the sixty queued streams are late
+    # already. They all start at once, so no permit is released for a second.
+    # If they took every permit, all arrivals of that second would be late too.
+    opened = replace(VIEW, free=60, reserved=reserve_for_arrivals(60, 40, 0))
     late = replace(FIRST, returning=True)
-    run = [judge(opened, replace(late, ahead=ahead)) for ahead in range(60)]
-    assert run.count(RunNow()) == 30
-    assert judge(opened, replace(FIRST, ahead=30)) == RunNow()
+    admissions = [
+        decide_admission(opened, replace(late, ahead=ahead))
+        for ahead in range(60)
+    ]
+    assert admissions.count(AdmitStream()) == 30
+    assert decide_admission(opened, replace(FIRST, ahead=30)) == AdmitStream()
 
 
-def test_nothing_is_reserved_while_as_many_streams_end_as_come():
-    assert reserve(8, 40, 40) == 0
-    assert reserve(8, 40, 37) == 3
-    assert reserve(0, 40, 0) == 0
-    assert reserve(-5, 40, 0) == 0
+def test_nothing_is_reserved_while_as_many_streams_end_as_arrive():
+    assert reserve_for_arrivals(8, 40, 40) == 0
+    assert reserve_for_arrivals(8, 40, 37) == 3
+    assert reserve_for_arrivals(0, 40, 0) == 0
+    assert reserve_for_arrivals(-5, 40, 0) == 0
 
 
-def test_a_caller_without_a_try_left_waits_a_little_past_the_estimate():
-    # Nobody knows to half a second when a rank is back; but a group that opens
-    # long after the caller has left is no reason to keep it waiting.
+def test_a_retry_is_queued_slightly_past_the_estimated_opening():
+    # The time at which a rank is back is known to half a second at best. A
+    # group that opens long after the caller has left is no reason to queue.
     returning = replace(FIRST, returning=True)
-    soon = replace(VIEW, opens_in=RETURN_WAIT + 400 * MS)
-    late = replace(VIEW, opens_in=RETURN_WAIT + 600 * MS)
-    assert judge(soon, returning) == WaitFor(RETURN_WAIT)
-    assert isinstance(judge(late, returning), TurnAway)
-
-
-def test_a_stream_finds_out_whether_a_group_runs_while_others_wait():
-    untold = replace(VIEW, free=0, opens_in=600 * MS, scouts=1)
-    assert judge(untold, FIRST) == RunNow()
-    assert isinstance(judge(untold, replace(FIRST, ahead=1)), WaitFor)
+    soon = replace(VIEW, opens_in=MAX_RETRY_WAIT + 400 * MS)
+    late = replace(VIEW, opens_in=MAX_RETRY_WAIT + 600 * MS)
+    assert decide_admission(soon, returning) == QueueStream(MAX_RETRY_WAIT)
+    assert isinstance(decide_admission(late, returning), TurnAway)
+
+
+def test_one_stream_probes_an_unknown_group_while_others_are_queued():
+    unknown = replace(VIEW, free=0, opens_in=600 * MS, probes=1)
+    assert decide_admission(unknown, FIRST) == AdmitStream()
+    assert isinstance(
+        decide_admission(unknown, replace(FIRST, ahead=1)), QueueStream
+    )
--- a/linnetwind/stream_room.py
+++ b/linnetwind/stream_room.py
@@ -1,8 +1,8 @@
-"""The room for streams in the rank groups of each service.
+"""Admits streams to the rank groups of each service.
 
-The load that this answers: one group of a service is slow or broken, and the
-others are sound. Each group has a limit of its own; measured as one, a slow
-rank left 9 streams running in two groups of 48 slots each.
+Handles services of which one group is slow or broken while the others are
+healthy. Each group has a limit of its own: with one limit for two groups of 48
+slots each, a single slow rank reduced both together to 9 running streams.
 """
 
 import random
@@ -14,14 +14,14 @@
 from linnetwind.group_breaks import note_crash
 from linnetwind.group_room import (
     UNNAMED,
+    GroupCapacity,
     GroupCount,
-    GroupRoom,
-    closed_for,
-    forget,
-    fresh_brief,
-    limit_of,
+    expire_times,
+    group_stream_limit,
     opens_in,
+    recent_summary,
     take_brief,
+    unavailable_for,
 )
 from linnetwind.lives import Life
 from linnetwind.pass_meter import Pause
@@ -30,168 +30,174 @@
     PeerState,
     StreamLoad,
 )
-from linnetwind.place_shares import allow
+from linnetwind.place_shares import compute_allowance
 from linnetwind.ranks_by_group import sort_ranks
 from linnetwind.routes import RoutedService
 from linnetwind.service_room import (
-    ServiceRoom,
-    forget_groups,
-    load_of,
-    share_of,
-    view_of,
+    ServiceCapacity,
+    capacity_view,
+    expire_groups,
+    permit_share,
+    stream_load,
 )
 from linnetwind.stream_gate import GroupView, TurnAway
 from linnetwind.upstream_list import Upstream
-from linnetwind.waiting_line import Claim, WaitingLine
+from linnetwind.waiting_line import Claim, WaitQueue
 
 
 class StreamRoom:
-    """Pauses, ends and waiting streams; may be called from any thread."""
+    """The admission control of one daemon; methods are thread-safe.
+
+    It holds the state of each service, with its groups and its wait queue.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing known.
+        """Start without any services.
 
         Args:
           clock: The daemon's clock.
         """
         self._clock = clock
         self._lock = threading.Lock()
-        self._rooms: dict[str, ServiceRoom] = {}
+        self._services: dict[str, ServiceCapacity] = {}
 
     def enter(
         self,
         service: str,
-        claim: Claim,
-        look: Callable[[timedelta], GroupView],
-        take: Callable[[], Upstream | None],
+        request: Claim,
+        read_view: Callable[[timedelta], GroupView],
+        acquire: Callable[[], Upstream | None],
         has_time: Callable[[], bool],
     ) -> Upstream | TurnAway | None:
-        """Wait for a place in a service's group while that is worth it.
+        """Queue a stream until it is admitted to a group or rejected.
 
         Args:
           service: The service's name.
-          claim: The stream.
-          look: Returns the present view of the group, for a longest pause.
-          take: Takes an upstream and counts the stream there.
-          has_time: Whether the stream can still end if it is begun now.
+          request: The stream's request for a permit.
+          read_view: Returns the present capacity, given the longest pause that
+            is in time.
+          acquire: Chooses an upstream and counts the stream there.
+          has_time: Returns whether the stream could still end before the
+            daemon stops if it started now.
 
         Returns:
-          What `take` returned, or that the stream is refused.
+          What `acquire` returned, or the rejection of the stream.
         """
         now = self._clock.elapsed()
         with self._lock:
-            room = self._room(service)
-            room.arrivals.append(now)
-            forget(room.arrivals, now)
-            if not claim.returning:
-                room.newcomers.append(now)
-                forget(room.newcomers, now)
-        return room.line.enter(claim, look, take, has_time)
+            state = self._service(service)
+            state.arrivals.append(now)
+            expire_times(state.arrivals, now)
+            if not request.returning:
+                state.newcomers.append(now)
+                expire_times(state.newcomers, now)
+        return state.queue.enter(request, read_view, acquire, has_time)
 
     def wake(self) -> None:
-        """Let all that wait look again."""
-        for room in list(self._rooms.values()):
-            room.line.wake()
+        """Make all queues check the capacity, which may have changed."""
+        for state in list(self._services.values()):
+            state.queue.wake()
 
     def note_pause(
         self, upstream: Upstream, length: timedelta, running: int
     ) -> None:
-        """Take note of a pause between two events of a stream.
+        """Record a pause between two events of a stream.
 
         Args:
-          upstream: Where the stream runs.
-          length: The pause.
-          running: The streams that all daemons have in its group.
+          upstream: The upstream that runs the stream.
+          length: The length of the pause.
+          running: The number of streams of all daemons in its group.
         """
         now = self._clock.elapsed()
         with self._lock:
             group = self._group(upstream)
-            brief = fresh_brief(group, now)
-            skew = brief.skew if brief else 0
-            group.meter.note(Pause(now, length, running, skew))
+            summary = recent_summary(group, now)
+            skew = summary.skew if summary else 0
+            group.estimator.record(Pause(now, length, running, skew))
 
     def note_start(self, service: str, took: timedelta) -> None:
-        """Take note of the time from a stream's start to its first event.
+        """Record the time from a stream's start to its first event.
 
         Args:
-          service: The stream's service.
+          service: The name of the stream's service.
           took: The time.
         """
         with self._lock:
-            room = self._room(service)
-            is_first = not room.starts
-            room.starts.append(took)
+            state = self._service(service)
+            is_first = not state.starts
+            state.starts.append(took)
         if is_first:
-            room.line.wake()
+            state.queue.wake()
 
     def note_end(self, upstream: Upstream) -> None:
-        """Take note that a request has ended, and let those that wait look.
+        """Record the end of a request, and wake the service's queue.
 
         Args:
-          upstream: Where it ran.
+          upstream: The upstream that ran the request.
         """
         now = self._clock.elapsed()
         with self._lock:
-            room = self._room(upstream.service)
+            state = self._service(upstream.service)
             ends = self._group(upstream).ends
             ends.append(now)
-            forget(ends, now)
-        room.line.wake()
+            expire_times(ends, now)
+        state.queue.wake()
 
-    def take_brief(self, brief: GroupBrief) -> None:
-        """Take in what the planner found out about a group.
+    def take_brief(self, summary: GroupBrief) -> None:
+        """Apply the planner's summary of a group.
 
         Args:
-          brief: The state of the group.
+          summary: The summary.
         """
         now = self._clock.elapsed()
         with self._lock:
-            room = self._room(brief.service)
-            group = room.groups.setdefault(brief.group, GroupRoom())
-            take_brief(group, brief, now)
-            forget_groups(room, now)
-            stay = {
+            state = self._service(summary.service)
+            group = state.groups.setdefault(summary.group, GroupCapacity())
+            take_brief(group, summary, now)
+            expire_groups(state, now)
+            others = {
                 life: name
-                for life, name in room.group_of.items()
-                if name in room.groups and name != brief.group
+                for life, name in state.group_of.items()
+                if name in state.groups and name != summary.group
             }
-            members = dict.fromkeys(brief.members, brief.group)
-            group_of = {**stay, **members}
-            if group_of != room.group_of:
-                room.group_of = group_of
+            members = dict.fromkeys(summary.members, summary.group)
+            group_of = {**others, **members}
+            if group_of != state.group_of:
+                state.group_of = group_of
 
     def note_crash(self, service: str, life: Life, at: timedelta) -> bool:
-        """Take note that a rank has crashed, so that its group is broken.
+        """Record the crash of a rank, which breaks its group.
 
         Args:
           service: The service's name.
-          life: The rank's life.
-          at: The monotonic time at which it was seen.
+          life: The incarnation of the rank.
+          at: The monotonic time at which the crash was detected.
 
         Returns:
-          Whether that was not known.
+          Whether the group was not known to be broken before.
         """
         with self._lock:
-            room = self._room(service)
-            name = room.group_of.get(life, UNNAMED)
-            group = room.groups.setdefault(name, GroupRoom())
+            state = self._service(service)
+            name = state.group_of.get(life, UNNAMED)
+            group = state.groups.setdefault(name, GroupCapacity())
             before = group.health
             group.health = note_crash(before, at)
             return before.broken_at is None and group.health != before
 
     def outages(self, service: str) -> dict[str, timedelta]:
-        """Return how long an outage lasts of each group that was open before.
+        """Return the expected duration of an outage of each group.
 
         Args:
           service: The service's name.
 
         Returns:
-          The time from a crash to the group's opening, by group. One that
-          forms for the first time, or after all hosts have started, is no
-          sign of a rank that is away.
+          The time from a crash to the opening of the group, by group. Groups
+          that have not been open before are left out: a group that forms for
+          the first time, or after all hosts have started, does not show that a
+          rank is missing.
         """
         with self._lock:
-            groups = self._room(service).groups
+            groups = self._service(service).groups
             return {
                 name: each.health.outage
                 for name, each in groups.items()
@@ -199,24 +205,24 @@
             }
 
     def opens_in(self, service: str) -> timedelta | None:
-        """Return when a service without an open group should have one.
+        """Return the time until a service without an open group has one.
 
         Args:
           service: The service's name.
 
         Returns:
-          The time until then; None if a group is open, or none is known.
+          The estimated time; None if a group is open, or none is known.
         """
         now = self._clock.elapsed()
         with self._lock:
-            groups = self._room(service).groups.values()
-            named = [each for each in groups if each.brief is not None]
+            groups = self._service(service).groups.values()
+            named = [each for each in groups if each.summary is not None]
             waits = [opens_in(each, now) for each in named or groups]
         return None if None in waits else min(waits, default=None)
 
     def group_of(self, upstream: Upstream) -> str:
-        """Return the name of the group that a rank is in."""
-        groups = self._room(upstream.service).group_of
+        """Return the name of the group that a rank belongs to."""
+        groups = self._service(upstream.service).group_of
         return groups.get(upstream.life, UNNAMED)
 
     def by_group(
@@ -229,23 +235,26 @@
           upstreams: Upstreams of the service.
 
         Returns:
-          The upstreams by group. A rank of no known group gets no streams, as
-          its group has not formed; without any news of groups all are one.
+          The upstreams by group. A rank without a known group gets no streams,
+          as its group has not formed. Without a recent summary of any group,
+          the ranks without one form a group with an empty name.
         """
         now = self._clock.elapsed()
         with self._lock:
-            room = self._room(service)
-            is_told = any(
-                fresh_brief(each, now) for each in room.groups.values()
+            state = self._service(service)
+            has_summary = any(
+                recent_summary(each, now) for each in state.groups.values()
             )
-            known = room.sorted_ranks
-            group_of = room.group_of
-            if not known or not known.serves(
-                upstreams, group_of, is_told=is_told
+            cached = state.sorted_ranks
+            group_of = state.group_of
+            if not cached or not cached.is_valid_for(
+                upstreams, group_of, has_summary=has_summary
             ):
-                known = sort_ranks(upstreams, group_of, is_told=is_told)
-                room.sorted_ranks = known
-        return known.by_group
+                cached = sort_ranks(
+                    upstreams, group_of, has_summary=has_summary
+                )
+                state.sorted_ranks = cached
+        return cached.by_group
 
     def view(
         self,
@@ -253,19 +262,19 @@
         gap: timedelta,
         counts: Mapping[str, GroupCount],
         peers: Sequence[PeerState],
-        news_interval: timedelta,
+        send_interval: timedelta,
     ) -> GroupView:
-        """Return what is known of a service's rank groups.
+        """Return the present capacity of a service's rank groups.
 
         Args:
           service: The service, which has engines.
           gap: The longest pause that is in time.
           counts: The streams that run in each group, and its ranks.
           peers: The states of the other daemons.
-          news_interval: How often each of them sends its state.
+          send_interval: How often each of them sends its state.
 
         Returns:
-          The view of all groups together.
+          The capacity of all groups together.
         """
         now = self._clock.elapsed()
         loads = [
@@ -275,101 +284,112 @@
             if each.service == service.name
         ]
         with self._lock:
-            room = self._room(service.name)
-            room.engine = service.engine
-            room.asked_at = now if room.asked_at is None else room.asked_at
-            share = share_of(room, now, loads, news_interval)
+            state = self._service(service.name)
+            state.engine = service.engine
+            state.first_asked_at = (
+                now if state.first_asked_at is None else state.first_asked_at
+            )
+            share = permit_share(state, now, loads, send_interval)
             for name, count in counts.items():
-                group = room.groups.setdefault(name, GroupRoom())
+                group = state.groups.setdefault(name, GroupCapacity())
                 parts = [
                     (part.part_ms, part.pauses)
                     for load in loads
                     for part in load.parts
                     if part.group == name
                 ]
-                limit = limit_of(
-                    group, now, service.engine, gap, count.ranks, parts
+                limit = group_stream_limit(
+                    group,
+                    now,
+                    service.engine,
+                    gap,
+                    count.ranks,
+                    parts,
                 )
                 group.use = count.running / limit
-                if now - group.allowance.at >= news_interval:
-                    group.allowance = allow(
+                if now - group.allowance.at >= send_interval:
+                    group.allowance = compute_allowance(
                         now,
                         count.own_running,
                         limit - count.running,
                         share,
                         random.random(),
                     )
-            return view_of(room, counts, now)
+            return capacity_view(state, counts, now)
 
     def places(
         self, service: str, counts: Mapping[str, GroupCount]
     ) -> dict[str, int]:
-        """Return the places that this daemon may fill in each open group.
+        """Return the permits that this daemon may use in each open group.
 
         Args:
           service: The service's name.
           counts: The streams that run in each group.
 
         Returns:
-          The places by group, below 0 where it has too many streams. Of a
-          service without an open group, all groups.
+          The permits by group, below 0 where the daemon runs too many streams;
+          0 for each group if none is open.
         """
         now = self._clock.elapsed()
         with self._lock:
-            rooms = self._room(service).groups
-            found = {
-                name: rooms[name].allowance.most - count.own_running
+            capacities = self._service(service).groups
+            permits = {
+                name: capacities[name].allowance.max_streams - count.own_running
                 for name, count in counts.items()
-                if name in rooms and closed_for(rooms[name], count, now) is None
+                if name in capacities
+                and unavailable_for(capacities[name], count, now) is None
             }
-        return found or dict.fromkeys(counts, 0)
+        return permits or dict.fromkeys(counts, 0)
 
     def loads(self) -> tuple[StreamLoad, ...]:
-        """Return what this daemon sees of its streams, for its peers."""
+        """Return what this daemon advertises of its streams, by service."""
         now = self._clock.elapsed()
         with self._lock:
             return tuple(
-                load_of(service, room, now)
-                for service, room in self._rooms.items()
-                if room.engine is not None
+                stream_load(name, state, now)
+                for name, state in self._services.items()
+                if state.engine is not None
             )
 
     def use(self, service: str, group: str) -> float:
-        """Return the streams that run in a group over those that could.
+        """Return the share of a group's limit that is in use.
 
         Args:
           service: The service's name.
           group: The group's name.
 
         Returns:
-          The share when a stream last asked; 1 if none has.
+          The running streams over the limit, as of the last stream that asked
+          for a permit; 1 if none has.
         """
         with self._lock:
-            known = self._room(service).groups.get(group)
+            known = self._service(service).groups.get(group)
             return known.use if known else 1
 
     def slow(self, service: str) -> frozenset[Life]:
-        """Return the lives whose ranks run slowly.
+        """Return the incarnations of the ranks that run slowly.
 
         Args:
           service: The service's name.
 
         Returns:
-          The lives, as the planner has found them.
+          The incarnations, as the planner's recent summaries list them.
         """
         now = self._clock.elapsed()
         with self._lock:
-            rooms = self._room(service).groups.values()
-            briefs = [fresh_brief(each, now) for each in rooms]
-        return frozenset(life for each in briefs if each for life in each.slow)
-
-    def _room(self, service: str) -> ServiceRoom:
-        room = self._rooms.get(service)
-        if room is None:
-            room = ServiceRoom(WaitingLine(self._clock))
-            self._rooms[service] = room
-        return room
-
-    def _group(self, upstream: Upstream) -> GroupRoom:
-        groups = self._room(upstream.service).groups
-        return groups.setdefault(self.group_of(upstream), GroupRoom())
+            capacities = self._service(service).groups.values()
+            summaries = [recent_summary(each, now) for each in capacities]
+        return frozenset(
+            life for each in summaries if each for life in each.slow
+        )
+
+    def _service(self, service: str) -> ServiceCapacity:
+        state = self._services.get(service)
+        if state is None:
+            state = ServiceCapacity(WaitQueue(self._clock))
+            self._services[service] = state
+        return state
+
+    def _group(self, upstream: Upstream) -> GroupCapacity:
+        groups = self._service(upstream.service).groups
+        return groups.setdefault(self.group_of(upstream), GroupCapacity())
--- a/linnetwind/waiting_line.py
+++ b/linnetwind/waiting_line.py
@@ -1,10 +1,10 @@
-"""The streams that wait for a place, in their order.
+"""A queue of the streams that wait for a permit.
 
-Newcomers go first, and callers that came back take what they leave. In the
-other order, or by the end of their waits, an overload feeds itself: each place
-for a caller that came back is one for which a newcomer is refused, who then
-comes back. After some seconds hardly anything but returning callers was
-served, all late, long after the overload.
+Newcomers come before the retries of rejected callers, which take the permits
+that newcomers leave. In the opposite order, or in the order in which waits
+end, an overload sustains itself: for each permit that a retry takes, a
+newcomer is rejected and becomes a retry. After some seconds hardly any stream
+but retries was served, all of them late, until long after the overload.
 """
 
 import itertools
@@ -15,105 +15,109 @@
 
 from linnetwind.clock import Clock
 from linnetwind.stream_gate import (
-    RETURN_WAIT,
+    MAX_RETRY_WAIT,
     STOPPING,
+    AdmissionDecision,
     GroupView,
+    QueueStream,
     TurnAway,
-    Verdict,
     Waiter,
-    WaitFor,
-    judge,
+    decide_admission,
 )
 from linnetwind.upstream_list import Upstream
 
-# How often the first stream in line looks at the count of other daemons'
-# streams. One with others ahead looks as many times more seldom, and is told
-# when it is the first; it has to see by itself only that its group broke. If
-# all looked as often, 200 in line would look 8,000 times a second.
-_LOOK_MS = 25
-_LOOK = timedelta(milliseconds=_LOOK_MS)
-_LONGEST_LOOK_MS = 250
-_LONGEST_LOOK = timedelta(milliseconds=_LONGEST_LOOK_MS)
-# How long all that wait share one view of the group. Each place taken or
-# given back, and each state of a peer, makes a new one.
-_VIEW_MS = 10
-_VIEW_AGE = timedelta(milliseconds=_VIEW_MS)
+# How often the first stream in the queue polls the capacity, which depends on
+# the streams of other daemons. A stream behind it polls at a multiple of this
+# interval by its position, since it is woken when it becomes the first; it has
+# to detect by itself only that its group broke. If all polled at the same
+# rate, 200 queued streams would poll 8,000 times a second.
+_POLL_INTERVAL_MS = 25
+_POLL_INTERVAL = timedelta(milliseconds=_POLL_INTERVAL_MS)
+_MAX_POLL_INTERVAL_MS = 250
+_MAX_POLL_INTERVAL = timedelta(milliseconds=_MAX_POLL_INTERVAL_MS)
+# How long all queued streams share one view of the capacity. Each permit
+# that is acquired or released, and each state of a peer, invalidates it.
+_VIEW_AGE_MS = 10
+_MAX_VIEW_AGE = timedelta(milliseconds=_VIEW_AGE_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A stream that asks for a place.
+    """A request of a stream for a permit.
 
-    `since` is the monotonic time at which the request came, `target` the
-    latency of a first event that is on time, `gap` the longest pause between
-    events that is, and `returning` says that its caller was told to return.
+    `arrived_at` is the monotonic time at which the stream's request arrived,
+    `target` the latency up to which a first event is on time, `gap` the
+    longest pause between events that is in time. `returning` says that this is
+    the retry of a rejected caller.
     """
 
-    since: timedelta
+    arrived_at: timedelta
     target: timedelta
     gap: timedelta
     returning: bool
 
 
-def precedence(claim: Claim) -> tuple[bool, timedelta]:
-    """Return the key by which streams in line are sorted.
+def queue_position_key(request: Claim) -> tuple[bool, timedelta]:
+    """Return the key by which queued streams are sorted.
 
     Args:
-      claim: The stream.
+      request: The stream's request for a permit.
 
     Returns:
-      Newcomers before those that came back, each by the end of its wait.
+      A key that sorts newcomers before retries, and each of these by the end
+      of their wait.
     """
-    most = RETURN_WAIT if claim.returning else claim.target
-    return claim.returning, claim.since + most
+    max_wait = MAX_RETRY_WAIT if request.returning else request.target
+    return request.returning, request.arrived_at + max_wait
 
 
 @dataclass(eq=False)
-class _Place:
-    """A place in line; `number` counts all that came.
+class _QueueEntry:
+    """A queued stream; `number` counts the streams in order of arrival.
 
-    `turn` is notified when the stream may be the one that runs next.
+    `wakeup` is notified when the stream is the first in the queue and may be
+    admitted.
     """
 
     number: int
-    claim: Claim
-    turn: threading.Condition
+    request: Claim
+    wakeup: threading.Condition
 
     @property
     def order(self) -> tuple[bool, timedelta, int]:
-        """Return the key by which places are sorted."""
-        return (*precedence(self.claim), self.number)
+        """Return the key by which entries are sorted."""
+        return (*queue_position_key(self.request), self.number)
 
 
 _NO_VIEW = (timedelta(), None)
 
 
-class WaitingLine:
-    """The streams of one service that wait here, in order of precedence."""
+class WaitQueue:
+    """The queued streams of one service, in the order of their admission."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty.
+        """Create an empty queue.
 
         Args:
-          clock: For waiting times.
+          clock: The clock that measures waits.
         """
         self._clock = clock
         self._lock = threading.RLock()
         self._numbers = itertools.count()
-        self._waiting: list[_Place] = []
+        self._entries: list[_QueueEntry] = []
         self._views: dict[timedelta, tuple[timedelta, GroupView]] = {}
 
     @property
     def length(self) -> int:
-        """Return how many streams wait."""
-        return len(self._waiting)
+        """Return the number of queued streams."""
+        return len(self._entries)
 
     def wake(self) -> None:
-        """Let the first in line look again, since a place may be free.
+        """Make the first stream check the capacity, which may have changed.
 
-        Whoever leaves the line wakes the next one. If all were woken by each
-        change they would take the interpreter from the streams that run, the
-        more of them wait the longer.
+        Each stream that leaves the queue wakes the next one. If each change
+        woke all of them, they would take the interpreter from the running
+        streams, the more so the longer the queue.
         """
         with self._lock:
             self._views.clear()
@@ -121,86 +125,97 @@
 
     def enter(
         self,
-        claim: Claim,
-        look: Callable[[timedelta], GroupView],
-        take: Callable[[], Upstream | None],
+        request: Claim,
+        read_view: Callable[[timedelta], GroupView],
+        acquire: Callable[[], Upstream | None],
         has_time: Callable[[], bool],
     ) -> Upstream | TurnAway | None:
-        """Wait for a place while that is worth it.
+        """Queue a stream until it is admitted or rejected.
 
-        The place is taken before the next stream in line looks. Taken later,
-        all streams in line would run for one free place, and all that run
-        would be late.
+        The permit is acquired before the next stream checks the capacity.
+        Otherwise all queued streams would be admitted for one free permit, and
+        every running stream would be late.
 
         Args:
-          claim: The stream.
-          look: Returns the present view of the group, for a longest pause.
-          take: Takes an upstream and counts the stream there.
-          has_time: Whether the stream can still end if it is begun now.
+          request: The stream's request for a permit.
+          read_view: Returns the present capacity, given the longest pause that
+            is in time.
+          acquire: Chooses an upstream and counts the stream there.
+          has_time: Returns whether the stream could still end before the
+            daemon stops if it started now.
 
         Returns:
-          What `take` returned, or that the stream is refused.
+          What `acquire` returned, or the rejection of the stream.
         """
-        turn = threading.Condition(self._lock)
-        place = _Place(next(self._numbers), claim, turn)
+        wakeup = threading.Condition(self._lock)
+        entry = _QueueEntry(next(self._numbers), request, wakeup)
         with self._lock:
-            self._waiting.append(place)
+            self._entries.append(entry)
             self._sort()
             try:
-                verdict = self._wait(place, look, has_time)
-                return verdict if isinstance(verdict, TurnAway) else take()
+                decision = self._wait(entry, read_view, has_time)
+                return decision if isinstance(decision, TurnAway) else acquire()
             finally:
                 self._views.clear()
-                self._waiting.remove(place)
+                self._entries.remove(entry)
                 self._wake_first()
 
     def _wake_first(self) -> None:
-        if self._waiting:
-            self._waiting[0].turn.notify()
+        if self._entries:
+            self._entries[0].wakeup.notify()
 
     def _wait(
         self,
-        place: _Place,
-        look: Callable[[timedelta], GroupView],
+        entry: _QueueEntry,
+        read_view: Callable[[timedelta], GroupView],
         has_time: Callable[[], bool],
-    ) -> Verdict:
-        # A daemon that was told to stop meanwhile would cut the stream.
+    ) -> AdmissionDecision:
+        # The daemon may be told to stop while the stream is queued; if the
+        # stream started then, it would be cut off.
         while has_time():
-            claim = place.claim
-            view = self._see(claim.gap, look)
-            ahead = self._waiting.index(place)
+            request = entry.request
+            view = self._shared_view(request.gap, read_view)
+            ahead = self._entries.index(entry)
             waiter = Waiter(
                 ahead,
-                self._clock.elapsed() - claim.since,
-                claim.target,
-                claim.returning,
+                self._clock.elapsed() - request.arrived_at,
+                request.target,
+                request.returning,
             )
-            verdict = judge(view, waiter)
-            if not isinstance(verdict, WaitFor):
-                return verdict
-            if view.opens_in is not None and not claim.returning:
-                # Once the group is open, those that can be in time go first.
-                place.claim = replace(claim, returning=True)
+            decision = decide_admission(view, waiter)
+            if not isinstance(decision, QueueStream):
+                return decision
+            if view.opens_in is not None and not request.returning:
+                # A stream that waited for a broken group is late. When the
+                # group opens, streams that can be in time precede it.
+                entry.request = replace(request, returning=True)
                 self._sort()
                 self._wake_first()
-            wait = min(verdict.most, _LOOK * (1 + ahead), _LONGEST_LOOK)
-            place.turn.wait(wait.total_seconds())
+            wait = min(
+                decision.max_wait,
+                _POLL_INTERVAL * (1 + ahead),
+                _MAX_POLL_INTERVAL,
+            )
+            entry.wakeup.wait(wait.total_seconds())
         return STOPPING
 
     def _sort(self) -> None:
-        self._waiting.sort(key=lambda place: place.order)
+        self._entries.sort(key=lambda entry: entry.order)
 
-    def _see(
-        self, gap: timedelta, look: Callable[[timedelta], GroupView]
+    def _shared_view(
+        self,
+        gap: timedelta,
+        read_view: Callable[[timedelta], GroupView],
     ) -> GroupView:
-        """Return the present view, made once for all that wait.
+        """Return a recent view, which all queued streams share.
 
-        Each state of a peer makes them look. A view of its own for each would
-        take most of a core where there are many peers.
+        Each state of a peer makes streams check the capacity. If each
+        of them made a view of its own, this would take most of a core where
+        there are many peers.
         """
         now = self._clock.elapsed()
         made_at, view = self._views.get(gap, _NO_VIEW)
-        if view is None or now - made_at > _VIEW_AGE:
-            view = look(gap)
+        if view is None or now - made_at > _MAX_VIEW_AGE:
+            view = read_view(gap)
             self._views[gap] = (now, view)
         return view
