--- a/linnetwind/upstream_choice.py
+++ b/linnetwind/upstream_choice.py
@@ -1,11 +1,11 @@
-"""Which upstream takes a request.
-
-In a rank group a stream that finds all slots of its rank taken waits there,
-so a rank with free slots is taken.
-Plain upstreams differ in speed and may fail while their health check is
-good, so their own record decides: what runs there, how long answers took and
-how many failed lately. An upstream that cannot be reached is left out for a
-moment, but never more than half of a service.
+"""Chooses the upstream that gets a request.
+
+In a rank group, a stream that is sent to a rank whose slots are all taken
+waits there for a slot, so a rank with free slots is preferred. Plain upstreams
+differ in speed and may fail while their health check succeeds, so the choice
+among them depends on what was observed: the requests that run there, the
+latency of responses and the share of failures. An unreachable upstream is
+ejected for a short time, but at most half of a service's upstreams are.
 """
 
 import random
@@ -16,57 +16,59 @@
 from linnetwind.lives import Life
 from linnetwind.upstream_list import Upstream
 
-# The weight of the newest answer in the averages of latency and failures.
+# The weight of the newest response in the averages of latency and failures.
 SMOOTHING = 0.2
-# How much worse a share of failures makes an upstream look, against its
-# load: at 45 failures in 100 it takes work only when others have 4 times as
-# much.
+# The weight of the share of failures in an upstream's cost, relative to its
+# load: with 45 failures in 100 requests it is chosen only while the others
+# have 4 times as much load.
 FAILURE_WEIGHT = 8.0
-# The first time that an unreachable upstream is left out, and the longest.
-_FIRST_REST_MS = 500
-FIRST_REST = timedelta(milliseconds=_FIRST_REST_MS)
-LONGEST_REST = timedelta(seconds=4)
-# More doublings than lead to the longest rest.
-_MOST_DOUBLINGS = 8
-# The power of the free slots in the chance of a rank. At 1 and 2 the ranks
-# are filled less evenly when news is fresh, at 4 and more they are overfilled
-# when it is old.
-FREE_SLOTS_POWER = 3
-# Averages older than this say nothing; a slow upstream is tried again.
-RECORD_AGE = timedelta(seconds=5)
+# How long an unreachable upstream is ejected at first, and at most.
+_MIN_EJECTION_MS = 500
+MIN_EJECTION = timedelta(milliseconds=_MIN_EJECTION_MS)
+MAX_EJECTION = timedelta(seconds=4)
+# Bounds the exponent, since the power would overflow a time after some 50
+# failures; the maximum ejection is reached with fewer doublings.
+_MAX_DOUBLINGS = 8
+# The exponent of the free slots in the weight of a rank. With 1 and 2 the
+# ranks are filled less evenly when peer states are fresh, with 4 and more they
+# are overfilled when peer states are old.
+FREE_SLOTS_EXPONENT = 3
+# Averages older than this are ignored, so that a slow upstream is tried again.
+MAX_RECORD_AGE = timedelta(seconds=5)
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What requests did at an upstream lately.
+    """Recent statistics of the requests at an upstream.
 
-    `latency` is an average in seconds, `failures` a share from 0 to 1,
-    `misses` the failed connections in a row.
+    `at` is the monotonic time of the newest one, `latency` an average in
+    seconds, `failures` the share of failed requests from 0 to 1,
+    `failed_connects` the number of failed connections in a row.
     """
 
     at: timedelta
     latency: float | None = None
     failures: float = 0
-    misses: int = 0
-    rests_until: timedelta = timedelta()
+    failed_connects: int = 0
+    ejected_until: timedelta = timedelta()
 
 
 def note_answer(
     record: Record, now: timedelta, took: timedelta, *, failed: bool
 ) -> Record:
-    """Return an upstream's record after an answer.
+    """Return an upstream's statistics after a response.
 
     Args:
-      record: The record so far.
+      record: The statistics so far.
       now: The monotonic time.
-      took: How long the answer took.
+      took: The latency of the response.
       failed: Whether it was a failure of the upstream.
 
     Returns:
-      The record.
+      The new statistics.
     """
-    # A failure often comes quicker than an answer; counted as latency it would
-    # draw all requests to the upstream that fails.
+    # A failure often comes sooner than a successful response; if it counted as
+    # latency, it would attract all requests to the upstream that fails.
     latency = record.latency
     if not failed:
         latency = _smooth(latency, took.total_seconds())
@@ -79,44 +81,48 @@
 
 
 def note_miss(record: Record, now: timedelta) -> Record:
-    """Return an upstream's record after a connection did not come about.
+    """Return an upstream's statistics after a failed connection.
 
     Args:
-      record: The record so far.
+      record: The statistics so far.
       now: The monotonic time.
 
     Returns:
-      The record, with a rest that doubles with each miss.
+      The new statistics, with an ejection that doubles with each failed
+      connection.
     """
-    doublings = min(record.misses, _MOST_DOUBLINGS)
-    rest = min(FIRST_REST * 2**doublings, LONGEST_REST)
+    doublings = min(record.failed_connects, _MAX_DOUBLINGS)
+    ejection = min(MIN_EJECTION * 2**doublings, MAX_EJECTION)
     return replace(
-        record, at=now, misses=record.misses + 1, rests_until=now + rest
+        record,
+        at=now,
+        failed_connects=record.failed_connects + 1,
+        ejected_until=now + ejection,
     )
 
 
 def choose_group(
-    places: Mapping[str, int], failed: frozenset[str], chance: float
+    permits: Mapping[str, int], failed: frozenset[str], chance: float
 ) -> str | None:
-    """Return the rank group that takes a stream.
+    """Return the rank group that gets a stream.
 
     Args:
-      places: The places that this daemon may fill in each group.
+      permits: The permits that this daemon may use in each group.
       failed: Groups in which an attempt of this stream has failed. When a
-        rank dies its whole group breaks, so another group comes first.
+        rank dies its whole group breaks, so other groups are preferred.
       chance: A random number from 0 to 1.
 
     Returns:
-      A group, by chance in proportion to its places; that with the most if
-      none has any, for a stream that is resumed. None without groups.
+      A random group, weighted by its permits; the group with the most permits
+      if no group has any, for a stream that is resumed. None without groups.
     """
-    names = [name for name in places if name not in failed] or list(places)
-    total = sum(max(0, places[name]) for name in names)
+    names = [name for name in permits if name not in failed] or list(permits)
+    total = sum(max(0, permits[name]) for name in names)
     if not total:
-        return max(names, key=places.__getitem__, default=None)
+        return max(names, key=permits.__getitem__, default=None)
     left = chance * total
     for name in names:
-        left -= max(0, places[name])
+        left -= max(0, permits[name])
         if left < 0:
             return name
     return names[-1]
@@ -127,39 +133,39 @@
     running: Mapping[Life, int],
     slow: frozenset[Life],
 ) -> Upstream | None:
-    """Return a rank that should have a free slot.
+    """Return a random rank, with more weight on ranks with more free slots.
 
-    What other daemons have started there lately is not known yet. If all
-    took the rank with the fewest streams, that rank would get them all: with
-    16 daemons and news 0.15 s old, 11 in 100 streams found all slots of their
-    rank taken and waited there for seconds; chosen by chance, with more
-    weight on ranks with more free slots, 2 in 100 did (simulated, 72 ranks at
-    three quarters of their slots).
+    The streams that other daemons have started lately are not known yet. If
+    all daemons chose the rank with the fewest streams, that rank would get all
+    of them. In a simulation with 16 daemons, states of peers 0.15 s old and 72
+    ranks at three quarters of their slots, 11 in 100 streams then found all
+    slots of their rank taken and waited for seconds; with weighted random
+    choices 2 in 100 did.
 
     Args:
-      upstreams: The ranks that may be given work.
-      running: The streams at each life, from all daemons.
-      slow: Lives that run slowly; each stream there would hold up the
+      upstreams: The ranks that may get the stream.
+      running: The streams of all daemons at each incarnation.
+      slow: The incarnations that run slowly. Each stream there would delay the
         passes of all, so they get none while there are others.
 
     Returns:
-      The rank, or None if there is none; the one with the fewest streams if
-      no slot is free.
+      The rank; the one with the fewest streams if no slot is free. None if
+      there are no ranks.
     """
     if not upstreams:
         return None
     quick = [each for each in upstreams if each.life not in slow]
     upstreams = quick or upstreams
     ranks = list(upstreams)
-    weights = [_chance(each, running) for each in ranks]
+    weights = [_weight(each, running) for each in ranks]
     if any(weights):
         return random.choices(ranks, weights)[0]
     return min(ranks, key=lambda each: running.get(each.life, 0))
 
 
-def _chance(upstream: Upstream, running: Mapping[Life, int]) -> int:
+def _weight(upstream: Upstream, running: Mapping[Life, int]) -> int:
     free = upstream.slots - running.get(upstream.life, 0)
-    return max(0, free) ** FREE_SLOTS_POWER
+    return max(0, free) ** FREE_SLOTS_EXPONENT
 
 
 def choose_plain(
@@ -168,53 +174,53 @@
     records: Mapping[Life, Record],
     now: timedelta,
 ) -> Upstream | None:
-    """Return the plain upstream that should answer soonest.
+    """Return the plain upstream that should respond soonest.
 
     Args:
-      upstreams: Those that may be given work.
-      running: The requests at each life, from all daemons.
-      records: What requests did at each life lately.
+      upstreams: The upstreams that may get the request.
+      running: The requests of all daemons at each incarnation.
+      records: The statistics of each incarnation.
       now: The monotonic time.
 
     Returns:
       The upstream, or None if there is none.
     """
-    awake = [each for each in upstreams if not _rests(each, records, now)]
-    if len(awake) * 2 < len(upstreams):
-        awake = list(upstreams)
-    if not awake:
+    usable = [each for each in upstreams if not _is_ejected(each, records, now)]
+    if len(usable) * 2 < len(upstreams):
+        usable = list(upstreams)
+    if not usable:
         return None
-    known = [
+    latencies = [
         record.latency
         for record in records.values()
         if record.latency is not None
     ]
-    usual = sorted(known)[len(known) // 2] if known else 1
+    median = sorted(latencies)[len(latencies) // 2] if latencies else 1
     return min(
-        awake,
+        usable,
         key=lambda each: (
-            _cost(each, running, records.get(each.life), usual, now),
+            _cost(each, running, records.get(each.life), median, now),
             random.random(),
         ),
     )
 
 
-def _rests(
+def _is_ejected(
     upstream: Upstream, records: Mapping[Life, Record], now: timedelta
 ) -> bool:
     record = records.get(upstream.life)
-    return record is not None and now < record.rests_until
+    return record is not None and now < record.ejected_until
 
 
 def _cost(
     upstream: Upstream,
     running: Mapping[Life, int],
     record: Record | None,
-    usual: float,
+    median_latency: float,
     now: timedelta,
 ) -> float:
     load = (running.get(upstream.life, 0) + 1) / max(1, upstream.slots)
-    if record is None or now - record.at > RECORD_AGE:
-        return load * usual
-    latency = usual if record.latency is None else record.latency
+    if record is None or now - record.at > MAX_RECORD_AGE:
+        return load * median_latency
+    latency = median_latency if record.latency is None else record.latency
     return load * latency * (1 + FAILURE_WEIGHT * record.failures)
--- a/linnetwind/upstream_choice_test.py
+++ b/linnetwind/upstream_choice_test.py
@@ -1,4 +1,4 @@
-"""Tests of which upstream takes a request, with loads that went wrong."""
+"""Tests of the choice of upstreams under loads that had overfilled some."""
 
 import random
 from datetime import timedelta
@@ -6,7 +6,7 @@
 import pytest
 
 from linnetwind.upstream_choice import (
-    LONGEST_REST,
+    MAX_EJECTION,
     Record,
     choose_plain,
     choose_rank,
@@ -32,9 +32,9 @@
 
 
 def _fewest(ranks, running):
-    least = min(running.get(each.instance, 0) for each in ranks)
+    fewest = min(running.get(each.instance, 0) for each in ranks)
     return random.choice(
-        [each for each in ranks if running.get(each.instance, 0) == least]
+        [each for each in ranks if running.get(each.instance, 0) == fewest]
     )
 
 
@@ -43,22 +43,22 @@
     random.seed(11)
 
 
-def test_streams_do_not_pile_up_on_the_rank_that_looked_empty():
-    # Sixteen daemons with news 0.15 s old place 115 streams a second. The rank
-    # with the fewest streams is the same for all of them: up to 15 streams
-    # went to ranks with 5 slots, and callers waited for seconds there while
-    # other ranks had free slots.
+def test_streams_do_not_pile_up_on_the_rank_with_the_fewest_streams():
+    # Sixteen daemons place 115 streams a second by peer states that are 0.15 s
+    # old. The rank with the fewest streams is the same for all of them: up to
+    # 15 streams went to ranks with 5 slots, and callers waited for seconds
+    # there while other ranks had free slots.
     ranks = _ranks(72, 5)
     assert place_streams(ranks, MANY_DAEMONS, _fewest).share > 0.08
     assert place_streams(ranks, MANY_DAEMONS, _choose).share < 0.04
 
 
-def test_with_fresh_news_hardly_any_stream_waits_for_a_slot():
+def test_with_fresh_peer_states_hardly_any_stream_waits_for_a_slot():
     placed = place_streams(_ranks(16, 6), FEW_DAEMONS, _choose)
     assert placed.share < 0.01
 
 
-def test_a_full_group_takes_the_rank_with_the_fewest_streams():
+def test_in_a_full_group_the_rank_with_the_fewest_streams_is_chosen():
     ranks = _ranks(3, 2)
     running = {'r0': 4, 'r1': 3, 'r2': 5}
     assert _choose(ranks, running).instance == 'r1'
@@ -73,7 +73,7 @@
 
 
 def test_an_upstream_that_fails_often_gets_less_work():
-    # Its health check is good and its failures come quickly.
+    # Its health check succeeds, and its failures come quickly.
     upstreams = _ranks(3, 6)
     records = {}
     for each in upstreams:
@@ -87,8 +87,8 @@
 
 
 def test_ejection_never_empties_a_service():
-    # All upstreams but one refuse connections for a moment. Requests go on to
-    # all of them rather than to one alone.
+    # All upstreams but one refuse connections for a moment. Requests still go
+    # to all of them, rather than to the remaining one alone.
     upstreams = _ranks(4, 6)
     records = {
         each.instance: note_miss(Record(SECOND), SECOND)
@@ -100,11 +100,12 @@
     assert choose_plain([], {}, {}, timedelta()) is None
 
 
-def test_an_upstream_that_is_away_for_long_can_still_be_noted():
-    # The only upstream of a service is away for minutes, and every request
-    # tries it. After 48 misses in a row the doubled rest was too long for a
-    # time, the note raised, and callers' connections closed without an answer.
+def test_many_failed_connections_do_not_overflow_the_ejection():
+    # The only upstream of a service is unreachable for minutes, and every
+    # request tries it. If the ejection doubles without a bound, it exceeds the
+    # range of a timedelta after 48 failures in a row; the exception closed
+    # callers' connections without a response.
     record = Record(SECOND)
-    for _miss in range(2000):
+    for _failure in range(2000):
         record = note_miss(record, SECOND)
-    assert record.rests_until == SECOND + LONGEST_REST
+    assert record.ejected_until == SECOND + MAX_EJECTION
