--- a/linnetwind/refusal_book.py
+++ b/linnetwind/refusal_book.py
@@ -1,8 +1,8 @@
-"""Who was refused and told to come back, so that they go first then.
+"""Remembers rejected requests, so that their retries get precedence.
 
-Callers come back through any daemon, so the daemons tell each other. A
-request is known by the subject of its prompt, which it shares with its
-repeat.
+A caller may retry through any daemon, so the daemons advertise their
+rejections to each other. A request is identified by the subject of its prompt,
+which its retry has too.
 """
 
 import threading
@@ -13,132 +13,144 @@
 
 from linnetwind.clock import Clock
 
-# A caller comes back within the longest time that it is told, and a little.
-KEPT = timedelta(seconds=4)
-# A refusal is told for this long: several states, some of which may be lost.
-# The caller comes back through another daemon later than that.
-_TOLD_MS = 600
-TOLD = timedelta(milliseconds=_TOLD_MS)
-# What one daemon tells the others; more than that cannot be served first.
-MOST_TOLD = 100
+# How long a rejection is remembered: slightly longer than the longest time
+# after which a caller is asked to retry.
+RETENTION = timedelta(seconds=4)
+# How long a rejection is advertised: for several states, some of which may be
+# lost. The caller retries through another daemon later than that.
+_ADVERTISED_MS = 600
+ADVERTISED_FOR = timedelta(milliseconds=_ADVERTISED_MS)
+# The rejections that one daemon advertises; more than that cannot get
+# precedence.
+MAX_ADVERTISED = 100
 
 
 @dataclass(frozen=True)
-class RefusalBook:
-    """Subjects that were refused lately, and when to forget them."""
+class RefusalHistory:
+    """Subjects that were rejected lately, each with its time of expiry.
+
+    `own` are the rejections of this daemon, `peers` those of the others. Times
+    are monotonic.
+    """
 
     own: Mapping[str, timedelta] = field(default_factory=dict)
-    told: Mapping[str, timedelta] = field(default_factory=dict)
+    peers: Mapping[str, timedelta] = field(default_factory=dict)
 
     def refuse(self, subject: str, now: timedelta) -> Self:
-        """Return the book after a refusal here.
+        """Return the history after a rejection by this daemon.
 
         Args:
-          subject: The request's subject; nothing is noted if it has none.
+          subject: The request's subject; if it is empty, the rejection is not
+            remembered.
           now: The monotonic time.
 
         Returns:
-          The book.
+          The new history.
         """
         if not subject:
             return self
-        return replace(self, own={**_kept(self.own, now), subject: now + KEPT})
+        return replace(
+            self, own={**_unexpired(self.own, now), subject: now + RETENTION}
+        )
 
     def hear(self, subjects: Iterable[str], now: timedelta) -> Self:
-        """Return the book after a message of another daemon.
+        """Return the history after a message of another daemon.
 
         Args:
-          subjects: What it refused lately.
+          subjects: The subjects that it advertises.
           now: The monotonic time.
 
         Returns:
-          The book.
+          The new history. A subject that is remembered already keeps its time
+          of expiry.
         """
         fresh = {
-            subject: now + KEPT
+            subject: now + RETENTION
             for subject in subjects
-            if now >= self.told.get(subject, timedelta())
+            if now >= self.peers.get(subject, timedelta())
         }
         if not fresh:
             return self
-        return replace(self, told={**_kept(self.told, now), **fresh})
+        return replace(self, peers={**_unexpired(self.peers, now), **fresh})
 
     def tell(self, now: timedelta) -> tuple[str, ...]:
-        """Return what to tell the other daemons.
+        """Return the subjects to advertise to the other daemons.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          The newest subjects that were refused here.
+          The newest subjects that this daemon rejected.
         """
-        newest = _kept(self.own, now + KEPT - TOLD)
-        return tuple(newest)[-MOST_TOLD:]
+        newest = _unexpired(self.own, now + RETENTION - ADVERTISED_FOR)
+        return tuple(newest)[-MAX_ADVERTISED:]
 
     def is_returning(self, subject: str, now: timedelta) -> bool:
-        """Return whether a request was refused before.
+        """Return whether a request was rejected lately.
 
         Args:
           subject: The request's subject.
           now: The monotonic time.
 
         Returns:
-          Whether any daemon refused it lately.
+          Whether any daemon rejected it.
         """
         return any(
-            now < book.get(subject, timedelta())
-            for book in (self.own, self.told)
+            now < expiries.get(subject, timedelta())
+            for expiries in (self.own, self.peers)
         )
 
 
 class Refusals:
-    """The book of a daemon; may be called from any thread."""
+    """The rejections that a daemon remembers; methods are thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with an empty book.
+        """Start with an empty history.
 
         Args:
-          clock: For forgetting.
+          clock: The clock by which rejections expire.
         """
         self._clock = clock
         self._lock = threading.Lock()
-        self._book = RefusalBook()
+        self._history = RefusalHistory()
 
     def refuse(self, subject: str) -> None:
-        """Take note of a refusal here.
+        """Record a rejection by this daemon.
 
         Args:
           subject: The request's subject.
         """
         with self._lock:
-            self._book = self._book.refuse(subject, self._clock.elapsed())
+            self._history = self._history.refuse(subject, self._clock.elapsed())
 
     def hear(self, subjects: Iterable[str]) -> None:
-        """Take note of what another daemon refused.
+        """Record the rejections that another daemon advertises.
 
         Args:
           subjects: The subjects.
         """
         with self._lock:
-            self._book = self._book.hear(subjects, self._clock.elapsed())
+            self._history = self._history.hear(subjects, self._clock.elapsed())
 
     def tell(self) -> tuple[str, ...]:
-        """Return the subjects refused here lately."""
-        return self._book.tell(self._clock.elapsed())
+        """Return the subjects to advertise to the other daemons."""
+        return self._history.tell(self._clock.elapsed())
 
     def is_returning(self, subject: str) -> bool:
-        """Return whether a request was refused before, here or elsewhere.
+        """Return whether a request is the retry of a rejected one.
 
         Args:
           subject: The request's subject.
 
         Returns:
-          Whether its caller was told to come back.
+          Whether any daemon rejected it lately and asked its caller to retry.
         """
-        return self._book.is_returning(subject, self._clock.elapsed())
+        return self._history.is_returning(subject, self._clock.elapsed())
 
 
-def _kept(
-    book: Mapping[str, timedelta], now: timedelta
+def _unexpired(
+    expiries: Mapping[str, timedelta], now: timedelta
 ) -> dict[str, timedelta]:
-    return {subject: until for subject, until in book.items() if now < until}
+    return {
+        subject: expiry for subject, expiry in expiries.items() if now < expiry
+    }
