--- a/linnetwind/decisions.py
+++ b/linnetwind/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines for decisions, in a form that programs can read."""
+"""Writes decisions to the log as structured lines."""
 
 import json
 import sys
@@ -13,11 +13,11 @@
 
     Args:
       level: The lowest level written.
-      stream: Where the lines go.
+      stream: The stream for the lines.
     """
 
     def write(message: Any) -> None:  # noqa: WPS430
-        stream.write(_line(message.record))
+        stream.write(_format_line(message.record))
         stream.flush()
 
     logger.remove()
@@ -25,16 +25,16 @@
 
 
 def log_decision(event: str, facts: Mapping[str, Any]) -> None:
-    """Write a line for one decision.
+    """Write a log line for one decision.
 
     Args:
       event: What was decided, in snake case.
-      facts: The names and values that explain it.
+      facts: The names and values that explain the decision.
     """
     logger.bind(facts=facts).info(event)
 
 
-def _line(record: Mapping[str, Any]) -> str:
+def _format_line(record: Mapping[str, Any]) -> str:
     line = {
         'time': record['time'].isoformat(timespec='milliseconds'),
         'level': record['level'].name,
--- a/linnetwind/stream_counts.py
+++ b/linnetwind/stream_counts.py
@@ -1,8 +1,7 @@
-"""How many requests all daemons have at each upstream, added up as they change.
+"""Counts the requests of all daemons at each upstream, incrementally.
 
-Added up anew at each event of each stream, these were part of 1 ms of
-processor for each event with 35 daemons and 192 ranks: a tenth of a core for
-20 streams.
+Adding up all counts at each event of each stream was part of 1 ms of processor
+time per event with 35 daemons and 192 ranks: a tenth of a core for 20 streams.
 """
 
 from collections import Counter
@@ -12,9 +11,9 @@
 
 
 class StreamCounts:
-    """The sum of this daemon's requests and its peers', by life.
+    """The requests of this daemon and its peers by incarnation of an upstream.
 
-    Not for several threads at once.
+    Not thread-safe.
     """
 
     def __init__(self) -> None:
@@ -25,12 +24,12 @@
 
     @property
     def totals(self) -> Mapping[Life, int]:
-        """Return the requests of all daemons; it goes on changing."""
+        """Return the requests of all daemons, as a live view."""
         return self._totals
 
     @property
     def own(self) -> Mapping[Life, int]:
-        """Return the requests of this daemon; it goes on changing."""
+        """Return the requests of this daemon, as a live view."""
         return self._own
 
     @property
@@ -39,29 +38,29 @@
         return self._peers.keys()
 
     def begin(self, life: Life) -> None:
-        """Count a request of this daemon.
+        """Count a request of this daemon that starts.
 
         Args:
-          life: Where it runs.
+          life: The incarnation that runs it.
         """
         self._own[life] += 1
         self._totals[life] += 1
 
     def end(self, life: Life) -> None:
-        """End the count of a request of this daemon.
+        """Stop counting a request of this daemon.
 
         Args:
-          life: Where it ran.
+          life: The incarnation that ran it.
         """
         for counts in (self._own, self._totals):
-            _take_off(counts, life, 1)
+            _subtract(counts, life, 1)
 
     def hear(self, peer: str, running: Mapping[Life, int]) -> None:
-        """Count what a peer has, in place of what it had.
+        """Replace the counts of a peer.
 
         Args:
-          peer: Its name.
-          running: Its requests at each life.
+          peer: The peer's name.
+          running: Its requests at each incarnation.
         """
         self.drop(peer)
         self._peers[peer] = running
@@ -69,17 +68,20 @@
             self._totals[life] += count
 
     def drop(self, peer: str) -> None:
-        """Count nothing for a peer any more.
+        """Remove the counts of a peer.
 
         Args:
-          peer: Its name.
+          peer: The peer's name.
         """
         for life, count in self._peers.pop(peer, {}).items():
-            _take_off(self._totals, life, count)
+            _subtract(self._totals, life, count)
 
 
-def _take_off(counts: Counter[Life], life: Life, count: int) -> None:
-    """Take off a count; lives without any are dropped, as they never end."""
+def _subtract(counts: Counter[Life], life: Life, count: int) -> None:
+    """Subtract a count, and remove an incarnation that has none left.
+
+    Incarnations are never reused, so zero counts would pile up.
+    """
     counts[life] -= count
     if counts[life] <= 0:
         counts.pop(life)
--- a/linnetwind/stream_counts_test.py
+++ b/linnetwind/stream_counts_test.py
@@ -1,4 +1,4 @@
-"""Tests of the sums of requests, against adding up anew."""
+"""Tests that the incremental counts equal a recount."""
 
 from collections import Counter
 
@@ -7,12 +7,12 @@
 
 from linnetwind.stream_counts import StreamCounts
 
-_LIVES = st.sampled_from(['a', 'b', 'c'])
-_RUNNING = st.dictionaries(_LIVES, st.integers(1, 5))
+_INCARNATIONS = st.sampled_from(['a', 'b', 'c'])
+_RUNNING = st.dictionaries(_INCARNATIONS, st.integers(1, 5))
 _STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just('begin'), _LIVES),
-        st.tuples(st.just('end'), _LIVES),
+        st.tuples(st.just('begin'), _INCARNATIONS),
+        st.tuples(st.just('end'), _INCARNATIONS),
         st.tuples(st.just('drop'), st.sampled_from(['p', 'q'])),
         st.tuples(st.just('hear'), st.sampled_from(['p', 'q']), _RUNNING),
     )
@@ -20,7 +20,7 @@
 
 
 @given(_STEPS)
-def test_the_sums_are_what_adding_up_gives(steps):
+def test_incremental_counts_equal_a_recount(steps):
     counts = StreamCounts()
     own: Counter[str] = Counter()
     peers: dict[str, dict[str, int]] = {}
@@ -30,7 +30,7 @@
                 counts.begin(life)
                 own[life] += 1
             case 'end', life:
-                # Only what has begun ends.
+                # Only a request that has started can end.
                 if own[life]:
                     counts.end(life)
                     own[life] -= 1
@@ -40,9 +40,9 @@
             case 'hear', peer, running:
                 counts.hear(peer, running)
                 peers[peer] = running
-        added_up = sum(map(Counter, peers.values()), Counter(own))
+        recounted = sum(map(Counter, peers.values()), Counter(own))
         assert dict(counts.totals) == {
-            life: count for life, count in added_up.items() if count
+            life: count for life, count in recounted.items() if count
         }
         assert dict(counts.own) == {
             life: count for life, count in own.items() if count
