--- a/linnetwind/rollout.py
+++ b/linnetwind/rollout.py
@@ -1,25 +1,29 @@
-"""Changing the expert map of a rank group so that no pass mixes two maps.
+"""Switch the expert map of a rank group; no pass mixes two maps.
 
-The engine's orders may be lost, repeated, or carried out seconds late, the
-planner may freeze between any two of them, and there may be two planners.
-The ranks do not compare maps. Safety rests on the reports alone:
+Orders to the engines may be lost, repeated, or carried out seconds late. The
+planner may freeze between any two of them, and two planners may be active at
+once. The ranks do not compare their maps with each other. Safety rests on the
+ranks' reports alone:
 
 - A pass is held at rank 0 before any rank is armed for it. The hold is the
-  lock: a rank has one at a time, and the pass cannot begin while it stands.
-- A held pass is released only after every rank was seen armed for just that
-  pass with one and the same version. Versions are drawn at random above all
-  that were seen, so that one version never names two maps.
-- A rank is disarmed only if another rank was seen with a newer version
-  prepared and not armed. That rank can never be armed with the older version
-  again, so nobody can have seen, or will see, all ranks armed with it.
-- Orders are bound to the group's epoch and, where they could do harm late,
-  to the number of orders that the rank has begun. A rank that starts again
-  under its name counts these from 0 and names the old epoch until the group
-  has formed anew, which clears what late orders did until then; after that
-  the epoch refuses them.
-
-No planner keeps state that matters: each round is decided from the ranks'
-reports and a wish, and any planner can finish what another one began.
+  lock: a rank accepts one hold at a time, and the held pass cannot start until
+  it is released.
+- A held pass is released only after every rank has been seen armed for exactly
+  that pass with the same version. Versions are drawn at random above all
+  versions seen, so that one version never names two maps.
+- A rank is disarmed only if another rank has been seen with a newer version
+  prepared and not armed. That other rank can never be armed with the older
+  version again, so no planner can have seen, or will see, all ranks armed with
+  it.
+- Orders are bound to the group's epoch and, where a late order could do harm,
+  to the number of orders that the rank has started. A rank that restarts under
+  its name counts these from 0 and reports the old epoch until the group has
+  formed again. Forming clears the effects of any late orders up to then;
+  afterwards the new epoch makes the rank refuse them.
+
+No planner keeps state that matters for safety: each round is decided from the
+ranks' reports and a target map, and any planner can finish a rollout that
+another one started.
 """
 
 from collections.abc import Mapping
@@ -36,21 +40,23 @@
     ReleasePass,
 )
 
-# The passes from the one that runs to the one at which a map is taken up.
-# Arming takes a few milliseconds and a pass tens of them; if it takes longer
-# the group waits at the held pass.
+# The number of passes between the running pass and the one that switches to the
+# new map. Arming takes a few milliseconds and a pass tens of them; if arming
+# takes longer, the group waits at the held pass.
 LEAD_PASSES = 2
-# The same while orders stay unanswered and have to be given again. A group
-# that waited at the held pass for the last of 72 ranks made every running
-# stream late, 0.2 to 0.4 s with each map. Arming them took 0.04 to 0.23 s with
-# one order in ten lost; with 12 passes the maps came a second too late.
+# The same while orders go unanswered and have to be sent again. With the short
+# lead a group waited at the held pass for the last of 72 ranks, which delayed
+# every running stream by 0.2 to 0.4 s with each map. Arming the ranks took 0.04
+# to 0.23 s with one order in ten lost; with 12 passes the maps came a second
+# too late.
 LONG_LEAD_PASSES = 6
+# The rank whose held pass serves as the lock.
 _LOCK_RANK = 0
 
 
 @dataclass(frozen=True, slots=True)
 class MapWish:
-    """The map that is wanted next, with a version never used before."""
+    """The map to switch to, with a version that was never used before."""
 
     version: int
     maps: RankMaps
@@ -66,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """What to do now, and at which stage the group is."""
+    """The stage that the group is at, and the orders to send now."""
 
     stage: str
     commands: tuple[RankCommand, ...] = ()
@@ -76,72 +82,78 @@
 
 
 def is_whole(reports: Reports) -> bool:
-    """Return whether all ranks of an open group of one epoch have reported.
+    """Return whether every rank of an open group reports the same epoch.
 
     Args:
       reports: The reports by rank.
 
     Returns:
-      Whether orders may be given at all.
+      Whether orders may be sent to the group at all.
     """
     if not reports:
         return False
-    size = max(each.size for each in reports.values())
-    # Ranks of two groups have the same numbers; orders for a mixture of them
-    # would leave each group with two maps.
-    epochs = {(each.group, each.epoch) for each in reports.values()}
-    all_open = all(each.is_open for each in reports.values())
+    size = max(report.size for report in reports.values())
+    # Ranks of different groups have the same numbers. Orders sent to a mixture
+    # of them would leave each group with two maps.
+    epochs = {(report.group, report.epoch) for report in reports.values()}
+    all_open = all(report.is_open for report in reports.values())
     return len(reports) == size and len(epochs) == 1 and all_open
 
 
 def next_round(
-    reports: Reports, wish: MapWish | None, lead: int = LEAD_PASSES
+    reports: Reports, target: MapWish | None, lead: int = LEAD_PASSES
 ) -> Round:
     """Decide the next orders.
 
     Args:
-      reports: The newest report of each rank that is known. A rank that was
-        given an order has reported since.
-      wish: The map that is wanted, or None if the present one is to stay.
-      lead: The passes until a map is taken up.
+      reports: The newest known report of each rank. Every rank that was given
+        an order has reported since.
+      target: The map to switch to, or None to keep the map in use.
+      lead: The number of passes after the running one at which the ranks switch
+        to the map.
 
     Returns:
-      The orders; to be followed by new reports and another round.
+      The stage and the orders. The caller sends the orders, collects new
+      reports and decides another round.
     """
     if not is_whole(reports):
         return Round('group is not whole')
     held = reports[_LOCK_RANK].held
     if held is not None:
-        return _finish(reports, held, wish)
-    if any(each.armed is not None for each in reports.values()):
+        return _resolve_held_pass(reports, held, target)
+    if any(report.armed is not None for report in reports.values()):
         return Round('waiting for the pass')
-    if wish is None or _is_stale(reports, wish):
+    if target is None or _is_stale(reports, target):
         return Round('idle')
-    if all(each.map_version == wish.version for each in reports.values()):
+    if all(report.map_version == target.version for report in reports.values()):
         return Round('in use')
-    missing = _unprepared(reports, wish)
-    if missing:
-        return Round('preparing', _prepare(reports, missing, wish))
-    if _any_copies(reports):
+    unprepared = _ranks_to_prepare(reports, target)
+    if unprepared:
+        return Round(
+            'preparing', _prepare_commands(reports, unprepared, target)
+        )
+    if _is_any_copying(reports):
         return Round('preparing for another planner')
-    return Round('holding', (_hold(reports, lead),))
+    return Round('holding', (_hold_command(reports, lead),))
 
 
-def _finish(reports: Reports, held: int, wish: MapWish | None) -> Round:
-    """Bring a group with a held pass to one map, and let it go on."""
-    versions = {_coming(each) for each in reports.values()}
+def _resolve_held_pass(
+    reports: Reports, held: int, target: MapWish | None
+) -> Round:
+    """Resolve a held pass: agree on one version, arm all ranks, release."""
+    versions = {_armable_version(each) for each in reports.values()}
     in_use = {each.map_version for each in reports.values()}
     if len(versions) > 1 or None in versions or versions & in_use:
-        return _start_over(reports, wish)
+        return _start_over(reports, target)
     version = min(versions)
     unarmed = [
         rank
         for rank, each in reports.items()
         if (each.armed, each.armed_step) != (version, held)
     ]
-    if _any_copies(reports):
-        # A copy that ends while its rank is armed could change what the rank
-        # takes up.
+    if _is_any_copying(reports):
+        # A copy that completes while its rank is armed could change the map
+        # that the rank switches to.
         return Round('preparing for another planner')
     if not unarmed:
         epoch = reports[_LOCK_RANK].epoch
@@ -155,63 +167,68 @@
     return Round('arming', tuple(commands))
 
 
-def _start_over(reports: Reports, wish: MapWish | None) -> Round:
-    """Leave a version that can no longer be armed everywhere."""
-    newest = max(each.prepared or 0 for each in reports.values())
-    overtaken = [
-        RankCommand(rank, DisarmMap(each.armed, each.epoch))
-        for rank, each in reports.items()
-        if each.armed is not None and each.armed < newest
+def _start_over(reports: Reports, target: MapWish | None) -> Round:
+    """Abandon a version with which not all ranks can be armed any more."""
+    newest = max(report.prepared or 0 for report in reports.values())
+    superseded = [
+        RankCommand(rank, DisarmMap(report.armed, report.epoch))
+        for rank, report in reports.items()
+        if report.armed is not None and report.armed < newest
     ]
-    if overtaken and _is_barred(reports, newest):
-        return Round('disarming', tuple(overtaken))
-    in_use = {each.map_version for each in reports.values()}
-    if wish is None or _is_stale(reports, wish) or wish.version in in_use:
+    if superseded and _has_moved_on(reports, newest):
+        return Round('disarming', tuple(superseded))
+    in_use = {report.map_version for report in reports.values()}
+    if target is None or _is_stale(reports, target) or target.version in in_use:
         return Round('a new map is needed')
-    missing = _unprepared(reports, wish)
-    return Round('preparing anew', _prepare(reports, missing, wish))
+    unprepared = _ranks_to_prepare(reports, target)
+    return Round(
+        'preparing anew', _prepare_commands(reports, unprepared, target)
+    )
 
 
-def _is_stale(reports: Reports, wish: MapWish) -> bool:
-    """Return whether a rank has had a newer version than the one wanted.
+def _is_stale(reports: Reports, target: MapWish) -> bool:
+    """Return whether a rank has already seen a newer version than the target.
 
-    It refuses the older one for ever; a planner that kept asking for it
-    would leave a held group standing.
+    That rank refuses the older version for ever. A planner that kept ordering
+    it would leave a held group blocked.
     """
     return any(
-        max(each.map_version, each.prepared or 0, each.armed or 0)
-        > wish.version
-        for each in reports.values()
+        max(report.map_version, report.prepared or 0, report.armed or 0)
+        > target.version
+        for report in reports.values()
     )
 
 
-def _is_barred(reports: Reports, newest: int) -> bool:
-    """Return whether a rank can no longer be armed with what came before."""
+def _has_moved_on(reports: Reports, newest: int) -> bool:
+    """Return whether a rank can no longer be armed with an older version.
+
+    That is a rank that has the newest version prepared and is not armed.
+    """
     return any(
-        each.prepared == newest and each.armed != newest
-        for each in reports.values()
+        report.prepared == newest and report.armed != newest
+        for report in reports.values()
     )
 
 
-def _any_copies(reports: Reports) -> bool:
-    return any(each.is_copying for each in reports.values())
+def _is_any_copying(reports: Reports) -> bool:
+    return any(report.is_copying for report in reports.values())
 
 
-def _coming(report: RankReport) -> int | None:
-    """Return the version that a rank is armed with, or could be."""
+def _armable_version(report: RankReport) -> int | None:
+    """Return the version that a rank is armed with, or could be armed with."""
     return report.prepared if report.armed is None else report.armed
 
 
-def _unprepared(reports: Reports, wish: MapWish) -> list[int]:
+def _ranks_to_prepare(reports: Reports, target: MapWish) -> list[int]:
     return [
         rank
-        for rank, each in reports.items()
-        if each.prepared != wish.version and each.armed is None
+        for rank, report in reports.items()
+        if report.prepared != target.version and report.armed is None
     ]
 
 
-def _prepare(
-    reports: Reports, ranks: list[int], wish: MapWish
+def _prepare_commands(
+    reports: Reports, ranks: list[int], target: MapWish
 ) -> tuple[RankCommand, ...]:
     commands = []
     for rank in ranks:
@@ -219,13 +236,13 @@
         if report.is_copying:
             continue
         order = PrepareMap(
-            wish.version, report.epoch, report.sequence, wish.maps
+            target.version, report.epoch, report.sequence, target.maps
         )
         commands.append(RankCommand(rank, order))
     return tuple(commands)
 
 
-def _hold(reports: Reports, lead: int) -> RankCommand:
+def _hold_command(reports: Reports, lead: int) -> RankCommand:
     step = max(each.step for each in reports.values()) + lead
     report = reports[_LOCK_RANK]
     order = HoldPass(step, report.epoch, report.sequence)
