--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -27,7 +27,7 @@
 from linnetwind.map_wish import (
     even_demand,
     map_skew,
-    may_gain,
+    can_gain,
     plan_map,
 )
 from linnetwind.peer_book import GroupBrief
@@ -313,7 +313,7 @@
         now = self._clock.elapsed()
         settled = group.settled if now - group.settled_at < _SETTLED else 0
         use = self._state.room.use(service.name, group.name)
-        if not force and not may_gain(group.skew, use, settled):
+        if not force and not can_gain(group.skew, use, settled):
             return None
         planned = plan_map(
             group.maps,
--- a/linnetwind/map_wish.py
+++ b/linnetwind/map_wish.py
@@ -1,8 +1,8 @@
-"""Which expert map is wanted next, from the counts and the map in use.
+"""Plan the next expert map from the experts' demand and the map in use.
 
-The load that this answers: every few seconds half of the popular experts
-change. A plan copies few experts to each rank, so that its switch comes
-within half a second, and is made only if it makes passes clearly shorter.
+Handles demand in which half of the popular experts change every few seconds. A
+plan copies few experts to each rank, so that the group can switch within half a
+second, and is made only if it makes passes clearly shorter.
 """
 
 import random
@@ -22,44 +22,50 @@
 from linnetwind.rollout import MapWish
 from linnetwind.routes import EngineFigures
 
-# Versions are drawn above all seen; so many to a step of the counter.
-_VERSIONS = 1_000_000
-# The copies to one rank by one plan: as many as fit into this time, and three
-# at least. Copies of a rank follow each other, so this bounds the time to the
-# switch. At three copies of 16 ms each a group of 72 ranks was left at a skew
-# of 1.69 where nine come to 1.43 and, with a second plan, to 1.08 (made
-# demand). At 330 ms two groups of 32 ranks copied three times as much and
-# earned 0.89 of what their answers in time could, with this bound 0.97: demand
-# shifts before long plans pay.
-COPIES_PER_RANK = 3
+# A version is a counter times this number plus a random number below it, so
+# that versions of different planners differ.
+_VERSIONS_PER_COUNT = 1_000_000
+# A plan copies as many experts to a rank as fit into the copy time, and at
+# least this many. A rank makes its copies one after the other, so this bounds
+# the time until the switch. At three copies of 16 ms each, a group of 72 ranks
+# was left at a skew of 1.69; nine copies bring it to 1.43 and, with a second
+# plan, to 1.08 (synthetic demand). With a copy time of 330 ms two groups of 32
+# ranks copied three times as much and earned 0.89 of what their responses in
+# time could have earned; with this bound they earned 0.97, because demand
+# shifts before long plans pay off.
+MIN_COPIES_PER_RANK = 3
 _COPY_TIME_MS = 150
-# The time over which a better map pays: the popular experts change every few
-# seconds.
+# The time over which the gain of a better map is counted. It is short because
+# the popular experts change every few seconds.
 _HORIZON_S = 2.0
-# The part by which passes take longer while any rank copies.
+# The fraction by which passes take longer while any rank copies.
 _COPY_SLOWDOWN = 0.15
-# What moving a gigabyte costs a group, as seconds of its service. Under light
-# load a better map serves nobody better; at half of this, 16 ranks moved twice
-# as much in 34 s (1,790 GB against 925) and answered as many in time.
+# The cost of moving one gigabyte, in seconds of the group's service. Under
+# light load a better map brings callers no benefit: at half of this cost, 16
+# ranks moved twice as much in 34 s (1,790 GB against 925) and answered as many
+# requests in time.
 _COST_PER_GB_S = 0.0012
-# A gain in skew below this share is not worth a rollout in a full group; in
-# an empty one passes are far shorter than they may be, and only a great gain
-# is. With one threshold for both, maps were changed twice a second on calm
-# days, 1,800 GB in 34 s, for passes of half the time allowed.
-LEAST_GAIN = 0.12
-LEAST_GAIN_EMPTY = 0.42
-# Up to so many times a skew at which nothing could be gained, nothing new is
-# expected: demand is counted over some passes and differs by a few per cent.
-_SAME_SKEW = 1.05
+# The smallest gain in skew that is worth a rollout, as a fraction: the first
+# for a fully used group, the second for an idle one, in between by utilization.
+# In an idle group passes are far shorter than they need to be, so only a large
+# gain is worth copying. With one threshold for both, maps changed twice a
+# second on calm days, 1,800 GB in 34 s, while passes took half the time
+# allowed.
+MIN_GAIN = 0.12
+MIN_GAIN_IDLE = 0.42
+# After a plan has gained too little, no new plan is made until the skew has
+# grown by this factor. Demand is counted over a few passes and varies by a few
+# per cent.
+_SKEW_GROWTH = 1.05
 _MS_PER_S = 1000
-# The part of the mean demand that every expert is taken to have, so that one
-# that nobody chose lately is not piled up with others.
-_BACKGROUND = 0.1
+# Every expert is assumed to have at least this fraction of the mean demand, so
+# that experts without recent demand are not all placed on one rank.
+_BACKGROUND_DEMAND = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedMap:
-    """What was planned; `wish` is None if the present map is to stay."""
+    """A planning result; without a map if the one in use is to stay."""
 
     wish: MapWish | None
     moves: int
@@ -83,25 +89,28 @@
     Args:
       maps: The map in use.
       tokens: The recent demand of each expert, by layer.
-      reports: The ranks' reports, for their pace and versions.
+      reports: The ranks' reports, for their relative slowness and their map
+        versions.
       engine: The figures of the engines.
-      use: The streams that run over those that could, from 0 to 1.
+      use: The group's utilization: running streams over its capacity, from 0 to
+        1.
       force: Whether a new version is needed even without a gain.
-      pause: Called again and again while a plan is made.
+      pause: Called repeatedly while the plan is made, so that other threads of
+        the process can run.
 
     Returns:
-      The plan.
+      The planned map, or the reason why the map in use stays.
     """
     plan = _better_plan(
-        _slots(maps, engine),
-        _load(tokens, reports),
+        _expert_map(maps, engine),
+        _group_load(tokens, reports),
         _prices(engine, len(reports)),
         pause,
     )
     gain = 1 - plan.skew_after / plan.skew_before
     reason = plan.reason
     wish = None
-    if force or gain >= _least_gain(use):
+    if force or gain >= _min_gain(use):
         target = _rank_maps(plan.target, engine)
         wish = MapWish(_new_version(reports), target)
     else:
@@ -117,42 +126,44 @@
     reports: Mapping[int, RankReport],
     engine: EngineFigures,
 ) -> float:
-    """Return how uneven the present map is.
+    """Return the skew of the map in use.
 
     Args:
       maps: The map in use.
       tokens: The recent demand of each expert, by layer.
-      reports: The ranks' reports, for their pace.
+      reports: The ranks' reports, for their relative slowness.
       engine: The figures of the engines.
 
     Returns:
-      A pass's time over that of a group in perfect balance.
+      The time of a pass over that of a perfectly balanced group; 1 at best.
     """
-    return skew(_slots(maps, engine), _load(tokens, reports))
+    return skew(_expert_map(maps, engine), _group_load(tokens, reports))
 
 
-def may_gain(present: float, use: float, settled: float) -> bool:
-    """Return whether a plan can be worth a change.
+def can_gain(current_skew: float, use: float, futile_skew: float) -> bool:
+    """Return whether a plan could gain enough to be worth a rollout.
 
-    Most looks find a group near balance. Planned at each of them all the
-    same, 10 times a second, two groups of 8 ranks kept their planner's
-    process busy, which also passes events of streams on.
+    Most polls find a group near balance. When a plan was made at every poll all
+    the same, 10 times a second, two groups of 8 ranks kept the planner's
+    process busy, which also relays the events of streams.
 
     Args:
-      present: The skew of the map in use.
-      use: The streams that run over those that could, from 0 to 1.
-      settled: The skew at which a plan was in vain just now, 0 without one.
+      current_skew: The skew of the map in use.
+      use: The group's utilization: running streams over its capacity, from 0 to
+        1.
+      futile_skew: The skew at which a recent plan gained too little; 0 if there
+        is none.
 
     Returns:
-      Whether perfect balance would gain enough, and the skew has grown since
-      a plan gained too little.
+      Whether perfect balance would gain enough, and the skew has grown since a
+      plan gained too little.
     """
-    grown = present >= settled * _SAME_SKEW
-    return grown and 1 - 1 / present >= _least_gain(use)
+    grown = current_skew >= futile_skew * _SKEW_GROWTH
+    return grown and 1 - 1 / current_skew >= _min_gain(use)
 
 
 def even_demand(engine: EngineFigures) -> tuple[tuple[float, ...], ...]:
-    """Return the demand of a group of which nothing is known.
+    """Return the demand to assume for a group whose demand is unknown.
 
     Args:
       engine: The figures of the engines.
@@ -170,22 +181,25 @@
     prices: PlacementPrices,
     pause: Callable[[], None],
 ) -> Plan:
-    """Return the better of two plans.
+    """Return the better of a plan by levels and a plan by single changes.
 
-    Where few experts may be copied, changes one by one use them best. Where
-    many ranks are nearly as slow as the slowest, none of these gains anything
-    and only many at once do: 192 ranks stopped at a skew of 1.76 to 2.22, and
-    come to 1.12 to 1.17 with two plans (made demand).
+    Where few experts may be copied, single changes use the copies best. Where
+    many ranks are nearly as slow as the slowest, no single change gains
+    anything and only many at once do: single changes left 192 ranks at a skew
+    of 1.76 to 2.22, and two plans by levels bring them to 1.12 to 1.17
+    (synthetic demand).
     """
-    levelled = plan_levels(current, load, prices, pause)
-    if not lacks_room(levelled, prices):
-        return levelled
-    stepped = plan_moves(current, load, prices, pause)
-    return max(levelled, stepped, key=lambda plan: worth_of(plan, prices))
+    level_plan = plan_levels(current, load, prices, pause)
+    if not lacks_room(level_plan, prices):
+        return level_plan
+    stepwise_plan = plan_moves(current, load, prices, pause)
+    return max(
+        level_plan, stepwise_plan, key=lambda plan: worth_of(plan, prices)
+    )
 
 
 def _prices(engine: EngineFigures, ranks: int) -> PlacementPrices:
-    copies = COPIES_PER_RANK
+    copies = MIN_COPIES_PER_RANK
     if engine.copy_ms:
         copies = max(copies, int(_COPY_TIME_MS / engine.copy_ms))
     return PlacementPrices(
@@ -198,50 +212,50 @@
     )
 
 
-def _least_gain(use: float) -> float:
-    return LEAST_GAIN + (LEAST_GAIN_EMPTY - LEAST_GAIN) * (1 - min(1, use))
+def _min_gain(use: float) -> float:
+    return MIN_GAIN + (MIN_GAIN_IDLE - MIN_GAIN) * (1 - min(1, use))
 
 
 def _copy_cost(engine: EngineFigures, ranks: int) -> float:
-    """Return the seconds that a copy costs the whole group.
+    """Return the seconds that one copy costs the whole group.
 
-    All ranks copy at once, so that the time of one copy is shared by them.
-    At a fixed 4 ms a copy, a group of 72 ranks was left at a skew of 2.3 to
-    2.6; at 0.8 ms, with twice the copies, 1.9 to 2.2 (planned on made demand).
+    All ranks copy at the same time, so the time of one copy is divided by their
+    number. At a fixed 4 ms a copy, a group of 72 ranks was left at a skew of
+    2.3 to 2.6; at 0.8 ms, with twice the copies, 1.9 to 2.2 (synthetic demand).
     """
     slowdown = _COPY_SLOWDOWN * engine.copy_ms / _MS_PER_S / ranks
     return slowdown + _COST_PER_GB_S * engine.expert_gb
 
 
 def _new_version(reports: Mapping[int, RankReport]) -> int:
-    """Draw a version above all seen.
+    """Draw a random version above all versions seen.
 
-    Two planners that draw at once must not name two maps alike; by chance
-    that happens once in a million such races.
+    Two planners that draw at the same time must not give two maps the same
+    version; that happens by chance once in a million such races.
     """
     seen = max(
-        max(each.map_version, each.prepared or 0, each.armed or 0)
-        for each in reports.values()
+        max(report.map_version, report.prepared or 0, report.armed or 0)
+        for report in reports.values()
     )
-    counter = seen // _VERSIONS + 1
-    return counter * _VERSIONS + random.randrange(_VERSIONS)
+    counter = seen // _VERSIONS_PER_COUNT + 1
+    return counter * _VERSIONS_PER_COUNT + random.randrange(_VERSIONS_PER_COUNT)
 
 
-def _load(
+def _group_load(
     tokens: tuple[tuple[float, ...], ...], reports: Mapping[int, RankReport]
 ) -> GroupLoad:
-    smoothed = tuple(_smooth(layer) for layer in tokens)
+    smoothed = tuple(_add_background(layer) for layer in tokens)
     slowness = tuple(reports[rank].pace for rank in range(len(reports)))
     return GroupLoad(smoothed, slowness)
 
 
-def _smooth(layer: tuple[float, ...]) -> tuple[float, ...]:
-    background = sum(layer) / len(layer) * _BACKGROUND
-    # The number that stands for an empty slot comes last, without demand.
-    return (*(each + background for each in layer), float(0))
+def _add_background(layer: tuple[float, ...]) -> tuple[float, ...]:
+    background = sum(layer) / len(layer) * _BACKGROUND_DEMAND
+    # The last entry stands for an empty slot and has no demand.
+    return (*(demand + background for demand in layer), float(0))
 
 
-def _slots(maps: RankMaps, engine: EngineFigures) -> ExpertMap:
+def _expert_map(maps: RankMaps, engine: EngineFigures) -> ExpertMap:
     size = engine.slots_per_rank
     layers = tuple(
         tuple(
--- a/linnetwind/map_wish_test.py
+++ b/linnetwind/map_wish_test.py
@@ -1,4 +1,4 @@
-"""Tests of planning the next expert map, with shifts as load."""
+"""Tests of planning the next expert map while demand shifts."""
 
 import random
 from dataclasses import replace
@@ -6,10 +6,10 @@
 import pytest
 
 from linnetwind.map_wish import (
-    COPIES_PER_RANK,
+    MIN_COPIES_PER_RANK,
     even_demand,
     map_skew,
-    may_gain,
+    can_gain,
     plan_map,
 )
 from standins.gateway_fixtures import make_engine
@@ -20,7 +20,7 @@
 REPORTS = GroupModel(RANKS).reports()
 
 
-def _in_turn():
+def _round_robin_map():
     layer = tuple(
         tuple(range(rank, ENGINE.experts, RANKS)) for rank in range(RANKS)
     )
@@ -28,17 +28,17 @@
 
 
 def _demand(seed):
-    source = random.Random(seed)
+    rng = random.Random(seed)
     layers = []
     for _layer in range(ENGINE.layers):
         weights = [1000 / (place + 1) ** 1.1 for place in range(64)]
-        source.shuffle(weights)
+        rng.shuffle(weights)
         layers.append(tuple(weights))
     return tuple(layers)
 
 
 def _new_experts(before, after):
-    """Return the experts that are new, by layer and rank."""
+    """Return the experts that are new to each rank, by layer and rank."""
     return [
         [set(new) - set(old) for old, new in zip(olds, news, strict=True)]
         for olds, news in zip(before, after, strict=True)
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_after_a_shift_three_plans_bring_the_group_near_balance(seed):
-    # Half of the popular experts change at once, and one rank holds up all
-    # streams. A large plan would take a second to copy; a series of small
-    # ones is there before the next shift.
-    maps = _in_turn()
+    # Half of the popular experts change at once, and one rank delays all
+    # streams. A large plan would take a second to copy; a series of small ones
+    # is in use before the next shift.
+    maps = _round_robin_map()
     skews = []
     for _plan in range(3):
         planned = plan_map(
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_a_plan_is_one_that_the_engines_accept(seed):
-    maps = _in_turn()
+def test_a_plan_keeps_the_limits_of_the_engines(seed):
+    maps = _round_robin_map()
     planned = plan_map(maps, _demand(seed), REPORTS, ENGINE, use=1, force=False)
     target = planned.wish.maps
     by_rank = [0] * RANKS
@@ -74,15 +74,15 @@
         for rank, new in enumerate(layer):
             assert len(new) <= ENGINE.new_experts
             by_rank[rank] += len(new)
-    assert max(by_rank) <= COPIES_PER_RANK
+    assert max(by_rank) <= MIN_COPIES_PER_RANK
     for layer in target:
         held = {expert for experts in layer for expert in experts}
         assert held == set(range(ENGINE.experts))
         assert max(map(len, layer)) <= ENGINE.slots_per_rank
 
 
-def test_a_balanced_group_is_left_alone():
-    maps = _in_turn()
+def test_a_balanced_group_keeps_its_map_unless_forced():
+    maps = _round_robin_map()
     flat = even_demand(ENGINE)
     assert (
         plan_map(maps, flat, REPORTS, ENGINE, use=1, force=False).wish is None
@@ -94,9 +94,9 @@
 
 def test_a_small_gain_moves_nothing_in_a_group_with_few_streams():
     # On a calm day passes take half the time allowed. Each small change of
-    # demand was followed by a new map, gigabytes were copied twice a second,
-    # and no caller was served better.
-    maps = _in_turn()
+    # demand led to a new map, gigabytes were copied twice a second, and no
+    # caller was served better.
+    maps = _round_robin_map()
     for _plan in range(4):
         planned = plan_map(
             maps, _demand(1), REPORTS, ENGINE, use=1, force=False
@@ -104,8 +104,8 @@
         maps = planned.wish.maps if planned.wish else maps
     shifted = tuple(
         tuple(
-            each * (1.5 if expert % 5 == 0 else 1)
-            for expert, each in enumerate(layer)
+            tokens * (1.5 if expert % 5 == 0 else 1)
+            for expert, tokens in enumerate(layer)
         )
         for layer in _demand(1)
     )
@@ -115,25 +115,25 @@
     assert calm.wish is None
 
 
-def test_a_great_gain_is_taken_also_in_a_group_with_few_streams():
+def test_a_large_gain_is_planned_in_a_group_with_few_streams():
     planned = plan_map(
-        _in_turn(), _demand(1), REPORTS, ENGINE, use=0.1, force=False
+        _round_robin_map(), _demand(1), REPORTS, ENGINE, use=0.1, force=False
     )
     assert planned.wish is not None
 
 
-def test_versions_are_above_all_that_were_seen():
+def test_version_is_above_all_seen_versions():
     reports = {**REPORTS, 3: replace(REPORTS[3], prepared=7_000_123)}
     planned = plan_map(
-        _in_turn(), _demand(1), reports, ENGINE, use=1, force=False
+        _round_robin_map(), _demand(1), reports, ENGINE, use=1, force=False
     )
     assert planned.wish.version >= 8_000_000
 
 
-def test_a_slow_rank_loses_its_popular_experts():
-    # A rank runs at a third of its speed; each expert that it holds keeps
-    # all ranks waiting.
-    maps = _in_turn()
+def test_a_slow_rank_loses_popular_experts():
+    # A rank runs at a third of its usual speed; each popular expert that it
+    # holds delays all ranks.
+    maps = _round_robin_map()
     demand = _demand(2)
     reports = {**REPORTS, 5: replace(REPORTS[5], pace=3)}
     for _plan in range(4):
@@ -151,21 +151,21 @@
 
 
 def test_no_plan_is_made_where_balance_would_gain_too_little():
-    # Most looks find a group near balance. A plan at each of them kept the
-    # process busy in which streams are passed on, and changed nothing.
-    assert not may_gain(1.1, use=1, settled=0)
-    assert may_gain(1.3, use=1, settled=0)
-    assert not may_gain(1.3, use=0.1, settled=0)
-    assert may_gain(3, use=0.1, settled=0)
+    # Most polls find a group near balance. A plan at each of them kept the
+    # process that also relays streams busy, and changed nothing.
+    assert not can_gain(1.1, use=1, futile_skew=0)
+    assert can_gain(1.3, use=1, futile_skew=0)
+    assert not can_gain(1.3, use=0.1, futile_skew=0)
+    assert can_gain(3, use=0.1, futile_skew=0)
 
 
-def test_a_plan_in_vain_is_not_made_again_while_the_skew_stays():
-    assert not may_gain(1.52, use=1, settled=1.5)
-    assert may_gain(1.7, use=1, settled=1.5)
+def test_no_plan_after_a_futile_one_while_the_skew_stays():
+    assert not can_gain(1.52, use=1, futile_skew=1.5)
+    assert can_gain(1.7, use=1, futile_skew=1.5)
 
 
-def test_the_skew_of_a_map_is_what_its_plan_starts_from():
-    maps = _in_turn()
+def test_map_skew_equals_the_skew_before_the_plan():
+    maps = _round_robin_map()
     planned = plan_map(maps, _demand(3), REPORTS, ENGINE, use=1, force=False)
-    found = map_skew(maps, _demand(3), REPORTS, ENGINE)
-    assert found == pytest.approx(planned.skew_before)
+    measured = map_skew(maps, _demand(3), REPORTS, ENGINE)
+    assert measured == pytest.approx(planned.skew_before)
