--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -1,7 +1,7 @@
-"""Plans the expert maps of rank groups and rolls them out, while it leads.
+"""Plan and roll out the expert maps of rank groups while this daemon leads.
 
-All decisions are in `rollout`, `map_wish` and `expert_demand`; this is the
-loop around them.
+All decisions are made in `rollout`, `map_wish` and `expert_demand`; this module
+is the loop around them.
 """
 
 import random
@@ -25,9 +25,9 @@
     sort_by_group,
 )
 from linnetwind.map_wish import (
+    can_gain,
     even_demand,
     map_skew,
-    can_gain,
     plan_map,
 )
 from linnetwind.peer_book import GroupBrief
@@ -57,44 +57,49 @@
 from linnetwind.step_log import StepLog
 from linnetwind.upstream_list import Upstream
 
-# How often the counts are read: about two passes.
-_LOOK_MS = 100
-LOOK_INTERVAL = timedelta(milliseconds=_LOOK_MS)
-# A large group is read less often: at 2 ms a rank, packed, a planner of 72
-# ranks took 0.20 of a core in all; every 100 ms, as lists, 0.53.
-_LOOK_PER_RANK_MS = 2
-# How soon a group that copies experts is looked at again. Copying takes
-# hundreds of milliseconds, all other stages one round trip.
-_COPY_LOOK_MS = 30
-_COPY_LOOK = timedelta(milliseconds=_COPY_LOOK_MS)
-# Rounds that may follow each other at once; a rollout needs about six. With
-# too few the group waits at its held pass: at 8, for 0.12 to 0.15 s in a
-# quarter of the rollouts.
-_MOST_ROUNDS = 40
-# A plan works for so long before it rests, so that the streams of its own
-# host are passed on in between. Planned in one go, at each look, 113 of 418
-# answers of its data centre were late on a calm day, and 1 of 762 in the
-# others. A large plan has 100 to 230 steps, so that a rest after each step
-# holds its map back by as many milliseconds.
-_STRETCH_MS = 3
-_STRETCH = timedelta(milliseconds=_STRETCH_MS)
-_BREATH_S = 0.001
-# For how long a plan that found too small a gain is not made again while the
-# skew stays: made at each look, there were ten of them in a second.
-_SETTLED = timedelta(seconds=1)
-# A planner that has not seen the whole group for this long lets another try.
-_BLIND = timedelta(seconds=1)
-# How long a planner that no longer leads keeps links, counts and maps. While a
-# group is broken its leader is blind as all others are, and leads again after
-# a tenth of a second: it lost all it knew of 192 ranks twice in 4 s.
-_REMEMBERED = timedelta(seconds=3)
-# After an order that was not answered, others are expected to be lost too.
-_LOSSES_LAST = timedelta(seconds=4)
+# How often the ranks are polled for their counts: about every two passes.
+_POLL_INTERVAL_MS = 100
+POLL_INTERVAL = timedelta(milliseconds=_POLL_INTERVAL_MS)
+# Large groups are polled less often, in proportion to their ranks. At 2 ms a
+# rank and with packed counts, a planner of 72 ranks used 0.20 of a core in all;
+# with a poll every 100 ms and counts as lists it used 0.53.
+_POLL_INTERVAL_PER_RANK_MS = 2
+# How often a group is polled while it copies experts. Copying takes hundreds of
+# milliseconds, every other stage one round trip.
+_COPY_POLL_INTERVAL_MS = 30
+_COPY_POLL_INTERVAL = timedelta(milliseconds=_COPY_POLL_INTERVAL_MS)
+# The rounds of orders that one poll may run in a row; a rollout needs about
+# six. With too few the group waits at its held pass: with 8 rounds for 0.12 to
+# 0.15 s in a quarter of the rollouts.
+_MAX_ROUNDS = 40
+# While it computes a plan, the planner sleeps briefly after each stretch of
+# this length, so that the streams of its own host are relayed in between. With
+# plans computed in one go at each poll, 113 of 418 responses of the planner's
+# data centre were late on a calm day, against 1 of 762 in the others. A large
+# plan has 100 to 230 steps; a sleep after every step would delay its map by as
+# many milliseconds.
+_MAX_COMPUTE_MS = 3
+_MAX_COMPUTE_TIME = timedelta(milliseconds=_MAX_COMPUTE_MS)
+_YIELD_S = 0.001
+# For how long no new plan is made after one that gained too little, as long as
+# the skew stays. Without this limit ten such plans were made per second.
+_FUTILE_PLAN_BACKOFF = timedelta(seconds=1)
+# A planner that has not received reports from the whole group for this long
+# lets another daemon lead.
+_MAX_TIME_WITHOUT_VIEW = timedelta(seconds=1)
+# How long a planner that no longer leads keeps its links, counts and maps.
+# While a group is broken, its leader reaches the ranks no better than any other
+# daemon, so the lead returns to it after a tenth of a second. Without this time
+# it lost all that it knew of 192 ranks twice in 4 s.
+_STATE_RETENTION = timedelta(seconds=3)
+# For how long after an unanswered order further losses are expected; during
+# that time maps are switched with the longer lead.
+_LOSS_DURATION = timedelta(seconds=4)
 LinkOpener = Callable[[Upstream], RankLink]
 
 
 class MapPlanner:
-    """The planner's thread in a gateway daemon."""
+    """Runs the planner in a gateway daemon's thread."""
 
     def __init__(
         self,
@@ -104,11 +109,13 @@
         clock: Clock,
         log: StepLog,
     ) -> None:
-        """Start without groups.
+        """Start without any groups.
 
         Args:
-          state: Gives services and upstreams, takes what is found out.
-          mesh: Says who leads, and tells the peers.
+          state: Provides services and upstreams, and receives the groups'
+            summaries.
+          mesh: Knows which daemon leads, and publishes the summaries to the
+            peers.
           open_link: Returns a link to an upstream.
           clock: The clock.
           log: The log.
@@ -119,51 +126,51 @@
         self._clock = clock
         self._log = log
         self._services: dict[str, PlannedService] = {}
-        self._led = False
+        self._was_leading = False
         self._led_at = timedelta()
-        self._breath = threading.Event()
-        self._works_since = timedelta()
+        self._never_set = threading.Event()
+        self._computing_since = timedelta()
 
     def run_once(self) -> timedelta:
-        """Look at all groups and go on with what each needs.
+        """Poll all groups and advance the rollout of each.
 
         Returns:
-          How long to wait before the next look.
+          The time to wait before the next poll.
         """
         table = self._state.table
         leads = table is not None and self._mesh.leads()
-        if leads != self._led:
-            self._led = leads
+        if leads != self._was_leading:
+            self._was_leading = leads
             self._log.event(LeaderChanged(leads))
         if not leads:
-            if self._clock.elapsed() - self._led_at > _REMEMBERED:
+            if self._clock.elapsed() - self._led_at > _STATE_RETENTION:
                 self._services.clear()
             self._mesh.publish((), can_plan=True)
-            return LOOK_INTERVAL
+            return POLL_INTERVAL
         self._led_at = self._clock.elapsed()
-        briefs = []
+        summaries = []
         for service in table.services.values():
             if service.engine is not None and service.engine.layers:
-                briefs.extend(self._plan_service(service))
-        for brief in briefs:
-            self._state.room.take_brief(brief)
+                summaries.extend(self._plan_service(service))
+        for summary in summaries:
+            self._state.room.take_brief(summary)
         groups = [
             group
             for each in self._services.values()
             for group in each.groups.values()
         ]
-        able = all(self._sees(each) for each in groups)
-        self._mesh.publish(tuple(briefs), can_plan=able)
+        has_full_view = all(self._has_full_view(each) for each in groups)
+        self._mesh.publish(tuple(summaries), can_plan=has_full_view)
         copying = any(_is_copying(each) for each in groups)
-        return _COPY_LOOK if copying else LOOK_INTERVAL
+        return _COPY_POLL_INTERVAL if copying else POLL_INTERVAL
 
-    def _sees(self, group: PlannedGroup) -> bool:
-        """Return whether this daemon sees of a group what can be seen."""
+    def _has_full_view(self, group: PlannedGroup) -> bool:
+        """Return whether this daemon sees as much of a group as any could."""
         now = self._clock.elapsed()
-        if now - group.whole_at < _BLIND:
+        if now - group.whole_at < _MAX_TIME_WITHOUT_VIEW:
             return True
-        # No planner reaches a rank that has crashed; handed on then, the lead
-        # would go round among all daemons for as long as the rank is away.
+        # No planner can reach a crashed rank. If the lead were handed on for
+        # that reason, it would rotate among all daemons until the rank is back.
         return bool(group.reports) and not is_open(group, now)
 
     def _plan_service(self, service: RoutedService) -> list[GroupBrief]:
@@ -171,109 +178,120 @@
         if planned is None:
             planned = PlannedService(GroupLinks(self._open_link))
             self._services[service.name] = planned
-        self._look(service, planned)
+        self._poll_service(service, planned)
         for group in planned.groups.values():
-            self._note_group(service, group)
+            self._record_group_change(service, group)
             reports = group.reports
-            rounds = _MOST_ROUNDS
+            rounds = _MAX_ROUNDS
             while reports and rounds:
                 rounds -= 1
-                reports = self._next(service, group, reports)
+                reports = self._run_round(service, group, reports)
         groups = planned.groups.values()
         outages = self._state.room.outages(service.name)
         return make_briefs(service, groups, self._clock.elapsed(), outages)
 
     def _counts_due(self, planned: PlannedService) -> bool:
-        """Return whether the counts are to be read, and note when."""
+        """Return whether to read the counts now; if so, record the time."""
         now = self._clock.elapsed()
-        ranks = sum(len(each.ranks) for each in planned.groups.values())
-        rest = timedelta(milliseconds=_LOOK_PER_RANK_MS * ranks)
-        if now - planned.counted_at < max(rest, LOOK_INTERVAL) - _COPY_LOOK:
+        ranks = sum(len(group.ranks) for group in planned.groups.values())
+        interval = timedelta(milliseconds=_POLL_INTERVAL_PER_RANK_MS * ranks)
+        if (
+            now - planned.counted_at
+            < max(interval, POLL_INTERVAL) - _COPY_POLL_INTERVAL
+        ):
             return False
         planned.counted_at = now
         return True
 
-    def _look(self, service: RoutedService, planned: PlannedService) -> None:
-        """Look at all ranks of a service."""
+    def _poll_service(
+        self, service: RoutedService, planned: PlannedService
+    ) -> None:
+        """Poll all ranks of a service and apply their replies."""
         registered = newest_by_address(
             self._state.upstreams.registered(service.name)
         )
         planned.links.keep(registered)
         with_counts = self._counts_due(planned)
-        wanted = Look(with_counts, with_counts and needs_experts(planned))
-        seen = sort_by_group(planned.links.look(registered, wanted))
+        query = Look(with_counts, with_counts and needs_experts(planned))
+        observed = sort_by_group(planned.links.look(registered, query))
         now = self._clock.elapsed()
-        take_groups(planned, seen, now)
+        take_groups(planned, observed, now)
         for group in planned.groups.values():
-            take_ranks(group, seen.get(group.name, {}), now)
+            take_ranks(group, observed.get(group.name, {}), now)
             if with_counts:
                 group.demand = group.demand.take(counts_of(group.ranks), now)
 
-    def _look_again(self, group: PlannedGroup) -> Reports:
-        """Look at the ranks of a group between two rounds."""
-        asked = [each.upstream for each in group.ranks.values()]
-        seen = sort_by_group(group.links.look(asked, Look(with_counts=False)))
+    def _poll_group(self, group: PlannedGroup) -> Reports:
+        """Poll the ranks of a group between two rounds."""
+        upstreams = [each.upstream for each in group.ranks.values()]
+        observed = sort_by_group(
+            group.links.look(upstreams, Look(with_counts=False))
+        )
         now = self._clock.elapsed()
-        take_ranks(group, seen.get(group.name, {}), now)
+        take_ranks(group, observed.get(group.name, {}), now)
         return group.reports
 
-    def _next(
+    def _run_round(
         self, service: RoutedService, group: PlannedGroup, reports: Reports
     ) -> Reports:
-        """Take one round.
+        """Decide and carry out one round.
 
         Returns:
-          The reports for a round that may follow at once; none if the group
-          needs time.
+          The reports for a round that may follow immediately; empty if the
+          group needs time.
         """
-        decided = next_round(reports, group.wish, self._lead(group))
-        self._note_stage(service, group, decided.stage, reports)
+        decided = next_round(reports, group.wish, self._lead_passes(group))
+        self._record_stage(service, group, decided.stage, reports)
         match decided.stage:
             case 'idle' | 'in use':
-                self._note_rest(group, decided.stage)
-                group.wish = self._new_wish(service, group, reports)
+                self._update_backoff(group, decided.stage)
+                group.wish = self._plan_if_allowed(service, group, reports)
                 return reports if group.wish else {}
             case 'a new map is needed':
-                group.wish = self._wish(service, group, reports, force=True)
+                group.wish = self._plan_target(
+                    service, group, reports, force=True
+                )
                 return reports if group.wish else {}
         if not decided.commands:
             return {}
-        newer = self._command(group, decided)
+        newer = self._send_orders(group, decided)
         if _is_copying(group):
             return {}
         if len(newer) < len(decided.commands):
-            return self._look_again(group)
+            return self._poll_group(group)
         group.reports = {**reports, **newer}
         return group.reports
 
-    def _note_rest(self, group: PlannedGroup, stage: str) -> None:
+    def _update_backoff(self, group: PlannedGroup, stage: str) -> None:
         if stage == 'in use':
             group.rest = PlannerRest()
         elif group.wish is not None:
-            # Idle with a wish: a rank has another planner's newer version.
+            # Idle in spite of a target map: a rank has a newer version of
+            # another planner.
             group.rest = rest_when_overtaken(
                 group.rest, self._clock.elapsed(), random.random()
             )
 
-    def _new_wish(
+    def _plan_if_allowed(
         self, service: RoutedService, group: PlannedGroup, reports: Reports
     ) -> MapWish | None:
         if self._clock.elapsed() < group.rest.until:
             return None
-        return self._wish(service, group, reports, force=False)
+        return self._plan_target(service, group, reports, force=False)
 
-    def _lead(self, group: PlannedGroup) -> int:
+    def _lead_passes(self, group: PlannedGroup) -> int:
         since = group.unanswered_at
-        if since is None or self._clock.elapsed() - since > _LOSSES_LAST:
+        if since is None or self._clock.elapsed() - since > _LOSS_DURATION:
             return LEAD_PASSES
         return LONG_LEAD_PASSES
 
-    def _command(self, group: PlannedGroup, decided: Round) -> Reports:
-        """Give the orders; return the reports that came with the answers.
+    def _send_orders(self, group: PlannedGroup, decided: Round) -> Reports:
+        """Send the orders and return the reports that came with the replies.
 
-        Ranks without an order keep the report that is known, so that a round
-        does not wait for calls to all ranks. That is safe: what a decision
-        takes from a report stays true, and orders are bound to it.
+        Ranks without an order keep their last known report, so that a round
+        does not wait for calls to all ranks. This is safe: every fact that a
+        decision relies on stays true, and the orders are bound to the reported
+        epoch and sequence.
         """
         orders = {
             group.ranks[each.rank].upstream: each.order
@@ -282,19 +300,21 @@
         results = group.links.command(orders)
         newer = {}
         for command in decided.commands:
-            obeyed = results[group.ranks[command.rank].upstream]
-            if obeyed.result is OrderResult.NO_ANSWER:
+            reply = results[group.ranks[command.rank].upstream]
+            if reply.result is OrderResult.NO_ANSWER:
                 group.unanswered_at = self._clock.elapsed()
-            if obeyed.result in {OrderResult.REFUSED, OrderResult.NO_ANSWER}:
+            if reply.result in {OrderResult.REFUSED, OrderResult.NO_ANSWER}:
                 name = type(command.order).__name__
                 self._log.event(
-                    OrderFailed(command.rank, name, obeyed.result.value)
+                    OrderFailed(command.rank, name, reply.result.value)
                 )
-            elif _goes_on(group.reports[command.rank], obeyed.report):
-                newer[command.rank] = obeyed.report
+            elif _is_same_incarnation(
+                group.reports[command.rank], reply.report
+            ):
+                newer[command.rank] = reply.report
         return newer
 
-    def _wish(
+    def _plan_target(
         self,
         service: RoutedService,
         group: PlannedGroup,
@@ -304,14 +324,18 @@
     ) -> MapWish | None:
         tokens = group.demand.by_layer(service.engine.layers)
         if not sum(map(sum, tokens)):
-            # A held group makes no passes, so that nothing is counted; it
-            # needs its new version all the same.
+            # A held group runs no passes, so nothing is counted; it needs a new
+            # version all the same.
             tokens = even_demand(service.engine) if force else ()
         if group.maps is None or not tokens:
             return None
         group.skew = map_skew(group.maps, tokens, reports, service.engine)
         now = self._clock.elapsed()
-        settled = group.settled if now - group.settled_at < _SETTLED else 0
+        settled = (
+            group.settled
+            if now - group.settled_at < _FUTILE_PLAN_BACKOFF
+            else 0
+        )
         use = self._state.room.use(service.name, group.name)
         if not force and not can_gain(group.skew, use, settled):
             return None
@@ -322,7 +346,7 @@
             service.engine,
             use=use,
             force=force,
-            pause=self._breathe,
+            pause=self._yield_to_streams,
         )
         if planned.wish is None:
             group.settled = group.skew
@@ -341,12 +365,12 @@
         )
         return planned.wish
 
-    def _breathe(self) -> None:
-        if self._clock.elapsed() - self._works_since >= _STRETCH:
-            self._breath.wait(_BREATH_S)
-            self._works_since = self._clock.elapsed()
+    def _yield_to_streams(self) -> None:
+        if self._clock.elapsed() - self._computing_since >= _MAX_COMPUTE_TIME:
+            self._never_set.wait(_YIELD_S)
+            self._computing_since = self._clock.elapsed()
 
-    def _note_stage(
+    def _record_stage(
         self,
         service: RoutedService,
         group: PlannedGroup,
@@ -368,14 +392,16 @@
         group.stage = stage
         group.stage_since = now
 
-    def _note_group(self, service: RoutedService, group: PlannedGroup) -> None:
+    def _record_group_change(
+        self, service: RoutedService, group: PlannedGroup
+    ) -> None:
         reports = group.reports
         epoch = max((each.epoch for each in reports.values()), default=0)
         now = (epoch, is_whole(reports))
         if now == group.was:
             return
         if group.was is not None and group.was[0] != epoch:
-            # The group formed anew, with map 0 and nothing prepared.
+            # The group formed again: map 0 is in use and nothing is prepared.
             forget_maps(group)
         group.was = now
         name = _full_name(service, group)
@@ -386,11 +412,11 @@
     return f'{service.name}/{group.name}'
 
 
-def _goes_on(before: RankReport, newer: RankReport | None) -> bool:
-    """Return whether a report that came with an answer is of the same life.
+def _is_same_incarnation(before: RankReport, newer: RankReport | None) -> bool:
+    """Return whether a reply's report is from the incarnation known before.
 
-    If the rank has started again meanwhile, all ranks are looked at anew, so
-    that what was believed of its life before ends.
+    If the rank has restarted meanwhile, all ranks are polled again, which
+    discards what was known of its previous incarnation.
     """
     return newer is not None and newer.born_ms == before.born_ms
 
--- a/linnetwind/map_planner_test.py
+++ b/linnetwind/map_planner_test.py
@@ -1,4 +1,4 @@
-"""Tests of the planner's beliefs about ranks that start again."""
+"""Tests of the planner: ranks that restart, and planners that compete."""
 
 import random
 from collections import Counter
@@ -38,22 +38,22 @@
 
 
 class Mesh:
-    """Leads unless told otherwise, and keeps what it is told."""
+    """Leads unless configured otherwise, and records what is published."""
 
     def __init__(self):
-        self.briefs = ()
+        self.summaries = ()
         self.leading = True
 
     def leads(self):
         return self.leading
 
-    def publish(self, briefs, *, can_plan):
-        self.briefs = briefs
+    def publish(self, summaries, *, can_plan):
+        self.summaries = summaries
 
 
 @dataclass
 class Rank:
-    """A rank and the orders that it got."""
+    """A rank and the orders that it has received."""
 
     report: RankReport
     counts: RankCounts
@@ -118,7 +118,7 @@
         return link
 
     def start(self, rank, port, born_ms, step=5, **changes):
-        """Start a life of a rank, which registers."""
+        """Start an incarnation of a rank and register it."""
         held = ((0, 1), (2, 3))[rank]
         report = replace(REPORT, rank=rank, born_ms=born_ms, **changes)
         epoch = report.epoch
@@ -131,7 +131,7 @@
         self.register(entry)
 
     def register(self, entry):
-        """Take an entry into the list."""
+        """Add an entry to the list of upstreams."""
         record = Registered(entry.instance, self.offset, entry)
         self.offset += 1
         self.state.change_upstreams(
@@ -139,7 +139,7 @@
         )
 
     def read_by_key(self):
-        """Read the whole list, which comes by its keys."""
+        """Read the whole list again, sorted by key instead of by age."""
         records = sorted(
             self.state.upstreams.records.values(),
             key=lambda each: each.instance,
@@ -149,7 +149,7 @@
         )
 
     def drop(self, instance):
-        """Have an entry lapse."""
+        """Remove an entry, as if its lease had expired."""
         record = Registered(instance, self.offset, None)
         self.offset += 1
         self.state.change_upstreams(
@@ -157,13 +157,13 @@
         )
 
     def count(self, port, step, *counts):
-        """Have a rank count."""
+        """Set a rank's counts and the pass that it counted last."""
         rank = self.ranks[port]
         lanes = join_counts(counts)
         rank.counts = replace(rank.counts, step=step, lanes=lanes)
 
     def look(self):
-        """Look once, with counts."""
+        """Poll once, with counts."""
         for service in self.planner._services.values():
             service.counted_at = timedelta()
         self.planner.run_once()
@@ -180,10 +180,10 @@
     return Bed()
 
 
-def test_a_rank_that_starts_again_elsewhere_is_reached_there(bed):
-    # A worker crashes and starts again under its name, at another address.
-    # The planner went on asking at the old one: it saw a rank less, and no
-    # map came any more.
+def test_a_rank_restarted_at_another_address_is_polled_there(bed):
+    # A worker crashes and restarts under its name at another address. The
+    # planner kept polling the old address: it saw one rank less than the group
+    # has, and planned no more maps.
     bed.look()
     bed.ranks.pop(82)
     bed.start(1, 92, born_ms=2, epoch=2)
@@ -193,9 +193,10 @@
     assert [link.closed for _to, link in bed.links] == [False, True, False]
 
 
-def test_a_map_held_by_the_life_before_is_not_taken_for_the_next(bed):
-    # The rank starts again, and for a moment epoch and version look as before.
-    # A plan made from what the life before held names copies that are gone.
+def test_a_map_of_the_previous_incarnation_is_not_reused(bed):
+    # The rank restarts, and for a moment its epoch and map version look as
+    # before. A plan made from the experts of the previous incarnation names
+    # copies that no longer exist.
     bed.look()
     group = bed.look()
     assert group.maps == (((0, 1), (2, 3)),)
@@ -206,7 +207,7 @@
     assert group.maps == (((0, 1), (3,)),)
 
 
-def test_a_wish_made_before_a_rank_started_again_is_dropped(bed):
+def test_a_target_map_is_dropped_when_a_rank_restarts(bed):
     bed.look()
     bed.count(81, 5, 0, 0, 0, 0)
     bed.count(81, 6, 9_000, 0, 0, 0)
@@ -214,15 +215,16 @@
     group = bed.look()
     assert group.wish is not None
     assert any(isinstance(each, PrepareMap) for each in bed.ranks[81].orders)
-    wished = group.wish.version
+    target_version = group.wish.version
     bed.start(1, 82, born_ms=2, step=6)
     group = bed.look()
-    assert group.wish is None or group.wish.version != wished
+    assert group.wish is None or group.wish.version != target_version
 
 
-def test_counts_of_the_life_before_are_no_base_of_the_next(bed):
-    # The counts of a rank that starts again go back to nothing. Taken
-    # together with those of the other ranks, they hid what these counted.
+def test_counts_of_a_previous_incarnation_are_not_subtracted(bed):
+    # The counts of a restarted rank start again from 0. Their negative
+    # difference, added to the counts of the other ranks, cancelled part of what
+    # those had counted.
     bed.count(82, 5, 5_000, 0, 0, 0)
     bed.look()
     bed.start(1, 82, born_ms=2, step=7)
@@ -231,9 +233,9 @@
     assert group.demand.recent[0] == pytest.approx(900)
 
 
-def test_counts_and_report_of_two_lives_are_not_mixed(bed):
-    # The agent reads counts, then the rank starts again, then it reads the
-    # report.
+def test_counts_and_report_of_two_incarnations_are_not_mixed(bed):
+    # The agent reads the counts, then the rank restarts, then the agent reads
+    # the report.
     bed.look()
     bed.ranks[82].report = replace(bed.ranks[82].report, born_ms=2)
     bed.count(81, 6, 1_000, 0, 0, 0)
@@ -242,21 +244,21 @@
     assert group.demand.recent[0] == pytest.approx(1_000)
 
 
-def test_the_peers_are_told_which_life_is_slow(bed):
-    # The list here is behind, and names the life before; the rank that
-    # reports is the next one.
+def test_peers_learn_which_incarnation_is_slow(bed):
+    # The list of upstreams is outdated and names the previous incarnation; the
+    # report comes from the next one.
     report = replace(bed.ranks[82].report, pace=3.0, born_ms=2)
     bed.ranks[82].report = report
     bed.look()
-    assert bed.mesh.briefs[0].slow == ('r1#2',)
+    assert bed.mesh.summaries[0].slow == ('r1#2',)
 
 
-def test_entries_of_dead_workers_do_not_end_a_plan_as_they_go(bed):
-    # All streams of a group were late for two seconds after it had formed
-    # anew. Its workers had registered again while their old entries stood on
-    # for three heartbeats, and a rank answered by both. As the old entries
-    # were dropped, one after the other, the planner believed that a rank had
-    # restarted, forgot the group's map and planned it from the start.
+def test_dropped_entries_of_dead_workers_keep_the_map(bed):
+    # After a group had formed again, all its streams were late for two seconds.
+    # Its workers had registered again while their old entries remained for
+    # three heartbeats, so that each rank replied through both entries. As the
+    # old entries were dropped one by one, the planner took this for a restart,
+    # discarded the group's map and planned it from the start.
     for rank in range(2):
         bed.start(rank, 81 + rank, born_ms=None)
         bed.register(make_upstream(f'a{rank}', 81 + rank, 'model'))
@@ -272,9 +274,10 @@
         assert bed.look().maps is maps
 
 
-def test_the_entry_of_the_life_that_answers_is_taken(bed):
-    # The worker has started again under another name, and the entry of the
-    # dead one stays for three heartbeats; both lead to one process.
+def test_the_entry_of_the_replying_incarnation_is_used(bed):
+    # The worker has restarted under another name, and the entry of its previous
+    # incarnation stays for three heartbeats; both entries lead to the same
+    # process.
     bed.register(make_upstream('z1', 82, 'model', born_ms=9))
     group = bed.look()
     assert group.ranks[1].upstream.instance == 'r1'
@@ -283,15 +286,16 @@
     assert group.ranks[1].upstream.instance == 'z1'
 
 
-def test_an_answer_of_the_next_life_is_not_taken_for_the_one_before(bed):
-    # The rank starts again as it is ordered; the answer brings the report of
-    # its next life. Taken for the one before, the wish stayed, though it was
-    # planned from a map that this life does not hold.
+def test_a_reply_of_the_next_incarnation_drops_the_target_map(bed):
+    # The rank restarts while it receives an order, and the reply carries the
+    # report of its next incarnation. When that report was attributed to the
+    # previous incarnation, the target map stayed, although it was planned from
+    # a map that the new incarnation does not hold.
     bed.look()
     bed.count(81, 6, 9_000, 0, 0, 0)
-    wished = bed.look().wish.version
+    target_version = bed.look().wish.version
     for rank in bed.ranks.values():
-        rank.report = replace(rank.report, prepared=wished)
+        rank.report = replace(rank.report, prepared=target_version)
         rank.orders.clear()
     bed.ranks[81].restarts_at = HoldPass
     group = bed.look()
@@ -300,12 +304,13 @@
     assert group.ranks[0].life == 'r0#2'
 
 
-def test_a_planner_that_was_overtaken_lets_the_other_finish(bed, monkeypatch):
-    # Two gateways do not hear each other, and both plan. Each found its map
-    # overtaken by the other's newer version and planned a still newer one at
-    # once, which overtook the other's: "preparing for another planner",
-    # "idle", "MapPlanned" by turns, twice a second, for 15 s and more. The
-    # group kept its map, with a skew of 1.74, until one of them was gone.
+def test_a_superseded_planner_lets_the_other_finish(bed, monkeypatch):
+    # Two gateways cannot reach each other, and both plan. Each found its map
+    # superseded by the newer version of the other and immediately planned a
+    # still newer one, which superseded the other's in turn: the stages
+    # "preparing for another planner" and "idle" and the event "MapPlanned"
+    # alternated twice a second for 15 s and more. The group kept its map, with
+    # a skew of 1.74, until one of the planners was gone.
     monkeypatch.setattr(random, 'random', lambda: 1.0)
     bed.look()
     bed.count(81, 6, 9_000, 0, 0, 0)
@@ -322,10 +327,10 @@
 
 
 def test_both_groups_of_a_service_get_maps(bed):
-    # The ranks of two groups of one service have the same numbers. Taken for
-    # one group, half of them are never planned for; while reports come in
-    # another order, some ranks of each group are armed and others are not, and
-    # the next pass of a group mixes two maps.
+    # The ranks of two groups of one service have the same numbers. If they are
+    # treated as one group, half of them never get a map. If reports also arrive
+    # in another order, some ranks of each group are armed and others are not,
+    # and the next pass of a group mixes two maps.
     for rank in range(2):
         bed.start(rank, 83 + rank, born_ms=1, group='h')
         bed.register(make_upstream(f'r{rank}', 81 + rank, 'model', born_ms=1))
@@ -347,11 +352,12 @@
     assert prepared == {81, 82, 83, 84}
 
 
-def test_a_planner_that_leads_again_goes_on_where_it_was(bed):
-    # All hosts of a group lose power. The leader is blind for a second, hands
-    # over, and leads again after a tenth of a second, since nobody sees more.
-    # It opened all links anew each time and counted from nothing, and the
-    # first map after the loss came seconds late.
+def test_a_planner_that_leads_again_keeps_its_state(bed):
+    # All hosts of a group lose power. The leader reaches no rank for a second,
+    # hands the lead over, and gets it back after a tenth of a second, since no
+    # other daemon reaches a rank either. Each time it opened all links again
+    # and counted from 0, and the first map after the power loss came seconds
+    # late.
     bed.look()
     group = bed.look()
     opened = len(bed.links)
--- a/linnetwind/map_wish.py
+++ b/linnetwind/map_wish.py
@@ -109,14 +109,14 @@
     )
     gain = 1 - plan.skew_after / plan.skew_before
     reason = plan.reason
-    wish = None
+    next_target = None
     if force or gain >= _min_gain(use):
         target = _rank_maps(plan.target, engine)
-        wish = MapWish(_new_version(reports), target)
+        next_target = MapWish(_new_version(reports), target)
     else:
         reason = 'the gain is too small'
     return PlannedMap(
-        wish, len(plan.moves), plan.skew_before, plan.skew_after, reason
+        next_target, len(plan.moves), plan.skew_before, plan.skew_after, reason
     )
 
 
--- a/linnetwind/map_wish_test.py
+++ b/linnetwind/map_wish_test.py
@@ -7,9 +7,9 @@
 
 from linnetwind.map_wish import (
     MIN_COPIES_PER_RANK,
+    can_gain,
     even_demand,
     map_skew,
-    can_gain,
     plan_map,
 )
 from standins.gateway_fixtures import make_engine
@@ -68,14 +68,14 @@
 def test_a_plan_keeps_the_limits_of_the_engines(seed):
     maps = _round_robin_map()
     planned = plan_map(maps, _demand(seed), REPORTS, ENGINE, use=1, force=False)
-    target = planned.wish.maps
+    maps_after = planned.wish.maps
     by_rank = [0] * RANKS
-    for layer in _new_experts(maps, target):
+    for layer in _new_experts(maps, maps_after):
         for rank, new in enumerate(layer):
             assert len(new) <= ENGINE.new_experts
             by_rank[rank] += len(new)
     assert max(by_rank) <= MIN_COPIES_PER_RANK
-    for layer in target:
+    for layer in maps_after:
         held = {expert for experts in layer for expert in experts}
         assert held == set(range(ENGINE.experts))
         assert max(map(len, layer)) <= ENGINE.slots_per_rank
