--- a/linnetwind/map_wish.py
+++ b/linnetwind/map_wish.py
@@ -9,8 +9,12 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from linnetwind.placement import go_on, plan_moves, skew
-from linnetwind.placement_levels import lacks_room, plan_levels, worth_of
+from linnetwind.placement import no_pause, plan_moves, skew
+from linnetwind.placement_levels import (
+    net_benefit,
+    plan_levels,
+    reaches_copy_limit,
+)
 from linnetwind.placement_types import (
     CopyLimits,
     ExpertMap,
@@ -82,7 +86,7 @@
     *,
     use: float,
     force: bool,
-    pause: Callable[[], None] = go_on,
+    pause: Callable[[], None] = no_pause,
 ) -> PlannedMap:
     """Plan the next map.
 
@@ -190,11 +194,11 @@
     (synthetic demand).
     """
     level_plan = plan_levels(current, load, prices, pause)
-    if not lacks_room(level_plan, prices):
+    if not reaches_copy_limit(level_plan, prices):
         return level_plan
     stepwise_plan = plan_moves(current, load, prices, pause)
     return max(
-        level_plan, stepwise_plan, key=lambda plan: worth_of(plan, prices)
+        level_plan, stepwise_plan, key=lambda plan: net_benefit(plan, prices)
     )
 
 
--- a/linnetwind/placement.py
+++ b/linnetwind/placement.py
@@ -1,16 +1,16 @@
-"""Planning where experts go, in small steps that are worth their cost.
+"""Plan expert maps by single changes, each of which is worth its cost.
 
-In each layer the group waits for its slowest rank, so a step takes the sum
-over the layers of the slowest rank's time. A plan improves the layers one
-change at a time, the best gain per byte first, and stops when the next gain
-over the horizon is worth less than the bytes that it moves.
+In each layer the group waits for its slowest rank, so a step takes the sum over
+the layers of the slowest rank's time. A plan improves the layers one change at
+a time, the change with the best gain per moved expert first, and stops when the
+next gain over the horizon is worth less than the cost of its moves.
 """
 
 import heapq
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 
-from linnetwind.placement_layer import Change, CopyRoom, LayerState
+from linnetwind.placement_layer import CopyBudget, LayerChange, LayerState
 from linnetwind.placement_types import (
     ExpertMap,
     GroupLoad,
@@ -20,17 +20,17 @@
     Plan,
 )
 
-_Queued = tuple[float, int, Change]
+_QueueEntry = tuple[float, int, LayerChange]
 
 
 def even_map(
     ranks: int, slots_per_rank: int, layers: int, experts: int
 ) -> ExpertMap:
-    """Return the map that spreads experts evenly, whatever their load.
+    """Return the map that spreads experts evenly, regardless of their load.
 
     Args:
       ranks: The number of ranks.
-      slots_per_rank: The experts that a rank holds in each layer.
+      slots_per_rank: The number of experts that a rank holds in each layer.
       layers: The number of layers.
       experts: The number of experts in each layer.
 
@@ -48,18 +48,18 @@
     tokens: Sequence[float],
     slowness: Sequence[float],
 ) -> list[float]:
-    """Return the time of each rank in one layer, in tokens of usual speed.
+    """Return the time of each rank in one layer.
 
     Args:
       layer: The layer's map.
-      slots_per_rank: The experts that a rank holds.
-      tokens: The load of each expert, shared evenly by its replicas.
-      slowness: The factor of each rank.
+      slots_per_rank: The number of experts that a rank holds.
+      tokens: The load of each expert, which its replicas share evenly.
+      slowness: The slowness factor of each rank.
 
     Returns:
-      A time for each rank.
+      The time of each rank, in tokens of a rank of usual speed.
     """
-    counts = _replicas(layer, len(tokens))
+    counts = _count_replicas(layer, len(tokens))
     loads = [float(0)] * len(slowness)
     for slot, expert in enumerate(layer):
         rank = slot // slots_per_rank
@@ -68,14 +68,15 @@
 
 
 def skew(current: ExpertMap, load: GroupLoad) -> float:
-    """Return a step's time over that of a group in perfect balance.
+    """Return the time of a step over that of a perfectly balanced group.
 
     Args:
       current: The map.
       load: The load.
 
     Returns:
-      The slowest ranks' time over the mean rank's; 1 at best.
+      The slowest rank's time over the mean rank's, both summed over the layers;
+      1 at best.
     """
     slowest = float(0)
     mean = float(0)
@@ -86,55 +87,61 @@
     return slowest / mean if mean else 1
 
 
-def go_on() -> None:
-    """Plan without pauses."""
+def no_pause() -> None:
+    """Do nothing: the default for callers that need no pauses in planning."""
 
 
 def plan_moves(
     current: ExpertMap,
     load: GroupLoad,
     prices: PlacementPrices,
-    pause: Callable[[], None] = go_on,
+    pause: Callable[[], None] = no_pause,
 ) -> Plan:
-    """Plan the changes that are worth their cost.
+    """Plan the changes that are worth their cost, one after the other.
 
     Args:
       current: The map in use.
-      load: The load that is expected.
-      prices: What a gain is worth and what a move costs.
-      pause: Called after each search for a change, so that a process that
-        also serves callers can do so in between.
+      load: The expected load.
+      prices: The weights of gains and costs.
+      pause: Called after each search for a change, so that a process that also
+        serves callers can do so in between.
 
     Returns:
-      The plan; without moves if nothing is worth it.
+      The plan; without moves if no change is worth its cost.
     """
-    room = CopyRoom(prices.copies) if prices.copies else None
+    copy_budget = CopyBudget(prices.copies) if prices.copies else None
     layers = [
         LayerState(
-            number, layer, current.slots_per_rank, tokens, load.slowness, room
+            number,
+            layer,
+            current.slots_per_rank,
+            tokens,
+            load.slowness,
+            copy_budget,
         )
         for number, (layer, tokens) in enumerate(
             zip(current.layers, load.tokens, strict=True)
         )
     ]
-    whole = sum(sum(each.loads) / len(each.loads) for each in layers)
-    if not whole:
+    balanced_time = sum(sum(state.loads) / len(state.loads) for state in layers)
+    if not balanced_time:
         return Plan(current, (), 1, 1, 'no load is known')
-    moves, reason = _improve(layers, whole, prices, pause)
-    target = replace(current, layers=tuple(each.layer for each in layers))
+    moves, reason = _improve(layers, balanced_time, prices, pause)
+    target = replace(current, layers=tuple(state.layer for state in layers))
     before = skew(current, load)
     return Plan(target, tuple(moves), before, skew(target, load), reason)
 
 
 def moves_between(old: ExpertMap, new: ExpertMap) -> int:
-    """Count the experts that must be loaded to get from a map to another.
+    """Count the experts that must be loaded to switch from one map to another.
 
     Args:
       old: The map in use.
-      new: The map wanted.
+      new: The target map.
 
     Returns:
-      The number of experts that a rank needs and does not have.
+      The number of experts that a rank needs and does not hold, summed over
+      ranks and layers.
     """
     size = old.slots_per_rank
     count = 0
@@ -147,47 +154,51 @@
 
 def _improve(
     layers: list[LayerState],
-    whole: float,
+    balanced_time: float,
     prices: PlacementPrices,
     pause: Callable[[], None],
 ) -> tuple[list[Move], str]:
-    queue: list[_Queued] = []
+    queue: list[_QueueEntry] = []
     for number, _layer in enumerate(layers):
-        _push(queue, layers, number)
+        _push_best_change(queue, layers, number)
         pause()
     moves: list[Move] = []
     while queue:
         _key, best, change = heapq.heappop(queue)
         if not layers[best].allows(change):
-            # Another layer has taken the room at one of its ranks since it
-            # was found.
-            _push(queue, layers, best)
+            # Since this change was found, changes of other layers have used up
+            # the copy limit of one of its ranks. Search this layer again.
+            _push_best_change(queue, layers, best)
             pause()
             continue
         if len(moves) + len(change.moves) > prices.max_moves:
             return moves, 'as many moves as one plan may have'
-        if not _is_worth(change, whole, prices):
+        if not _is_worth(change, balanced_time, prices):
             return moves, 'the next move costs more than it gains'
         layers[best].apply(change)
         moves.extend(change.moves)
-        _push(queue, layers, best)
+        _push_best_change(queue, layers, best)
         pause()
     return moves, 'balanced'
 
 
-def _push(queue: list[_Queued], layers: list[LayerState], number: int) -> None:
+def _push_best_change(
+    queue: list[_QueueEntry], layers: list[LayerState], number: int
+) -> None:
     change = layers[number].best_change()
     if change is not None:
         heapq.heappush(queue, (-change.rate, number, change))
 
 
-def _is_worth(change: Change, whole: float, prices: PlacementPrices) -> bool:
-    saved = change.gain / whole * prices.horizon
+def _is_worth(
+    change: LayerChange, balanced_time: float, prices: PlacementPrices
+) -> bool:
+    saved = change.gain / balanced_time * prices.horizon
     cost = len(change.moves) * prices.seconds_per_move
     return prices.skew_weight * saved > prices.cost_weight * cost
 
 
-def _replicas(layer: Sequence[int], experts: int) -> list[int]:
+def _count_replicas(layer: Sequence[int], experts: int) -> list[int]:
     counts = [0] * experts
     for expert in layer:
         counts[expert] += 1
--- a/linnetwind/placement_layer.py
+++ b/linnetwind/placement_layer.py
@@ -1,8 +1,8 @@
-"""One layer of a plan: its loads, and what a change would gain.
+"""The state of one layer while a plan is made: loads, and gains of changes.
 
-A change touches only the ranks that hold the experts concerned, so its gain
-is found from those and the slowest rank that is not touched. Adding up all
-ranks anew for each candidate took ten times as long.
+A change affects only the ranks that hold the experts concerned, so its gain is
+computed from those and from the slowest rank that it leaves alone. Adding up
+the loads of all ranks for each candidate took ten times as long.
 """
 
 import heapq
@@ -15,38 +15,41 @@
 from linnetwind.placement_pack import repack
 from linnetwind.placement_types import CopyLimits, LayerMap, Move
 
-# The lightest ranks that are tried as a target for a part of the slowest
-# rank's work; more make a plan slower and hardly better.
-TARGETS = 4
-# Of the slowest rank's experts only the heaviest, and of a target's only the
-# lightest, are tried as a replica: a lighter part gains less, and a heavier
-# one that gives way costs more. Of exchanges those two are tried that come
-# nearest to halving the difference of the ranks. Tried all with all, a plan
-# for 8 ranks of 11 places in 6 layers took 70 ms of processor in the mean
-# and 163 at most; so it takes 25 and 38, with the same skew (made demand).
-HEAVIEST = 5
-LIGHTEST = 3
-NEAREST = 2
+# How many of the least loaded ranks are tried as the target for part of the
+# slowest rank's load. Trying more makes planning slower and the plan hardly
+# better.
+MAX_TARGET_RANKS = 4
+# Only the heaviest experts of the slowest rank are tried as replicas, and only
+# the lightest experts of a target rank are tried as the one to be replaced: a
+# lighter replica gains less, and replacing a heavier expert costs more. Of the
+# possible exchanges of a heavy expert only the ones that come nearest to
+# halving the difference between the two ranks are tried. With all combinations
+# tried, a plan for 8 ranks of 11 slots in 6 layers took 70 ms of processor time
+# in the mean and 163 ms at most; with these limits 25 and 38 ms, at the same
+# skew (synthetic demand).
+MAX_HEAVY_EXPERTS = 5
+MAX_REPLACED_EXPERTS = 3
+EXCHANGES_PER_EXPERT = 2
 
 
 @dataclass(frozen=True)
-class Change:
-    """Moves that belong together, and the time that they save in a step."""
+class LayerChange:
+    """Moves that are made together, and the step time that they save."""
 
     gain: float
     moves: tuple[Move, ...]
 
     @property
     def rate(self) -> float:
-        """Return the gain for each expert that is moved."""
+        """Return the gain per expert moved."""
         return self.gain / len(self.moves)
 
 
-class CopyRoom:
-    """The copies that a plan may still bring to each rank, in all layers."""
+class CopyBudget:
+    """The copies that a plan may still make to each rank, over all layers."""
 
     def __init__(self, limits: CopyLimits) -> None:
-        """Start with the whole room.
+        """Start with no copies made.
 
         Args:
           limits: The limits of one plan.
@@ -62,8 +65,8 @@
             and self._by_layer[rank, layer] < self.limits.per_layer
         )
 
-    def take(self, rank: int, layer: int) -> None:
-        """Take note of a copy."""
+    def record_copy(self, rank: int, layer: int) -> None:
+        """Record a copy."""
         self._by_rank[rank] += 1
         self._by_layer[rank, layer] += 1
 
@@ -72,7 +75,7 @@
 
 
 class LayerState:
-    """A layer while its plan is being made."""
+    """A layer while its plan is made."""
 
     def __init__(
         self,
@@ -81,21 +84,21 @@
         size: int,
         tokens: Sequence[float],
         slowness: Sequence[float],
-        room: CopyRoom | None = None,
+        copy_budget: CopyBudget | None = None,
     ) -> None:
-        """Add up the loads.
+        """Compute the loads of the ranks.
 
         Args:
-          number: The layer's number, for its moves.
+          number: The number of the layer, for its moves.
           layer: The layer's map.
-          size: The slots of a rank.
+          size: The number of slots per rank.
           tokens: The load of each expert.
-          slowness: The factor of each rank.
-          room: What may be copied, shared with the other layers; None if
-            there is no limit.
+          slowness: The slowness factor of each rank.
+          copy_budget: The copies that may still be made, shared with the other
+            layers; None if there is no limit.
         """
-        self._room = room
-        self._first = frozenset(
+        self._copy_budget = copy_budget
+        self._initial = frozenset(
             (slot // size, expert) for slot, expert in enumerate(layer)
         )
         self._number = number
@@ -107,7 +110,7 @@
         self._holders: dict[int, Counter[int]] = defaultdict(Counter)
         for slot, expert in enumerate(layer):
             self._holders[expert][slot // size] += 1
-        self._loads = self._add_up()
+        self._loads = self._sum_loads()
 
     @property
     def layer(self) -> LayerMap:
@@ -119,82 +122,91 @@
         """Return the time of each rank."""
         return self._loads
 
-    def apply(self, change: Change) -> None:
-        """Make a change.
+    def apply(self, change: LayerChange) -> None:
+        """Apply a change.
 
         Args:
-          change: What `best_change` gave.
+          change: A change that `best_change` returned.
         """
         for move in change.moves:
             rank = move.slot // self._size
-            if self._room is not None and self._is_copy(rank, move.expert):
-                self._room.take(rank, self._number)
-            gone = self._slots[move.slot]
-            touched = {gone, move.expert}
+            if self._copy_budget is not None and self._is_copy(
+                rank, move.expert
+            ):
+                self._copy_budget.record_copy(rank, self._number)
+            removed = self._slots[move.slot]
+            touched = {removed, move.expert}
             self._add_loads(touched, -1)
             self._slots[move.slot] = move.expert
-            self._counts.subtract((gone,))
+            self._counts.subtract((removed,))
             self._counts.update((move.expert,))
-            self._holders[gone][rank] -= 1
-            if not self._holders[gone][rank]:
-                self._holders[gone].pop(rank)
+            self._holders[removed][rank] -= 1
+            if not self._holders[removed][rank]:
+                self._holders[removed].pop(rank)
             self._holders[move.expert][rank] += 1
             self._add_loads(touched, 1)
 
     def _add_loads(self, experts: set[int], sign: int) -> None:
-        """Add the loads of experts to their ranks, or take them off.
+        """Add the loads of experts to their ranks, or subtract them.
 
-        Only the ranks that hold them are touched: adding up all slots after
-        each change grows with the size of the group.
+        Only the ranks that hold the experts are updated: summing all slots
+        after each change would take time in proportion to the size of the
+        group.
         """
         for expert in experts:
             share = sign * self._share(expert) if self._counts[expert] else 0
             for holder, slots in self._holders[expert].items():
                 self._loads[holder] += share * slots * self._slowness[holder]
 
-    def allows(self, change: Change) -> bool:
-        """Return whether there still is room for a change's copies.
+    def allows(self, change: LayerChange) -> bool:
+        """Return whether the copy limits still allow a change.
 
         Args:
-          change: What `best_change` gave before other layers changed.
+          change: A change that `best_change` returned before other layers
+            changed.
 
         Returns:
-          Whether each rank that gets a copy has room for it.
+          Whether each rank that needs a copy may still get it.
         """
-        targets = (
-            (each.slot // self._size, each.expert) for each in change.moves
+        copies = (
+            (move.slot // self._size, move.expert) for move in change.moves
         )
-        return all(self._may_go(rank, expert) for rank, expert in targets)
+        return all(self._may_hold(rank, expert) for rank, expert in copies)
 
-    def best_change(self) -> Change | None:
-        """Return the change with the largest gain for each expert moved.
+    def best_change(self) -> LayerChange | None:
+        """Return the change with the largest gain per expert moved.
 
         Returns:
-          The change, or None if none makes the slowest rank faster.
+          The change, or None if no change makes the slowest rank faster.
         """
         ranks = range(len(self._loads))
         slowest = max(ranks, key=self._loads.__getitem__)
-        open_ranks = [rank for rank in ranks if self._has_room(rank)]
-        lightest = heapq.nsmallest(
-            TARGETS, open_ranks, key=self._loads.__getitem__
+        allowed_ranks = [rank for rank in ranks if self._may_copy_to(rank)]
+        target_ranks = heapq.nsmallest(
+            MAX_TARGET_RANKS, allowed_ranks, key=self._loads.__getitem__
         )
-        # The slowest ranks in order, to find one that a change leaves alone.
-        order = sorted(ranks, key=self._loads.__getitem__, reverse=True)
+        # The ranks from the slowest on, to find the slowest one that a change
+        # does not affect.
+        ranks_by_load = sorted(ranks, key=self._loads.__getitem__, reverse=True)
         changes = (
-            Change(self._loads[slowest] - self._reached(deltas, order), moves)
-            for rank in lightest
+            LayerChange(
+                self._loads[slowest]
+                - self._max_load_after(deltas, ranks_by_load),
+                moves,
+            )
+            for rank in target_ranks
             for moves, deltas in self._candidates(slowest, rank)
         )
-        best = max(changes, key=lambda each: each.rate, default=None)
+        best = max(changes, key=lambda change: change.rate, default=None)
         if best is not None and best.gain > 0:
             return best
-        return self._repacked(max(self._loads))
+        return self._repack_change(max(self._loads))
 
-    def _repacked(self, slowest: float) -> Change | None:
-        # Changing one expert after the other ends where no single change
-        # helps, some per cent above what packing from scratch reaches. That
-        # moves most experts, so it is out of the question under a limit.
-        if self._room is not None:
+    def _repack_change(self, slowest: float) -> LayerChange | None:
+        # Single changes end where none of them helps any more, some per cent
+        # above the load that packing from scratch reaches. Packing moves most
+        # of the experts, so it is not used where copies are limited.
+        if self._copy_budget is not None:
             return None
         slots = repack(self.layer, self._size, self._tokens, self._slowness)
         moves = tuple(
@@ -206,9 +218,9 @@
             self._number, slots, self._size, self._tokens, self._slowness
         )
         gain = slowest - max(packed.loads)
-        return Change(gain, moves) if moves and gain > 0 else None
+        return LayerChange(gain, moves) if moves and gain > 0 else None
 
-    def _add_up(self) -> list[float]:
+    def _sum_loads(self) -> list[float]:
         loads = [float(0)] * len(self._slowness)
         for slot, expert in enumerate(self._slots):
             rank = slot // self._size
@@ -218,41 +230,58 @@
     def _share(self, expert: int, extra: int = 0) -> float:
         return self._tokens[expert] / (self._counts[expert] + extra)
 
-    def _reached(self, deltas: dict[int, float], order: Sequence[int]) -> float:
+    def _max_load_after(
+        self, deltas: dict[int, float], ranks_by_load: Sequence[int]
+    ) -> float:
         touched = max(self._loads[rank] + deltas[rank] for rank in deltas)
-        others = (self._loads[rank] for rank in order if rank not in deltas)
+        others = (
+            self._loads[rank] for rank in ranks_by_load if rank not in deltas
+        )
         return max(touched, next(others, touched))
 
-    def _candidates(self, slowest: int, rank: int) -> Iterator[_Candidate]:
+    def _candidates(self, slowest: int, target: int) -> Iterator[_Candidate]:
         """Yield replicas of the slowest rank's experts, and exchanges."""
-        mine = self._by_share(slowest)
-        theirs = self._by_share(rank)
-        held = self._experts_at(theirs)
-        heavy = [slot for slot in mine if self._slots[slot] not in held]
-        # Many changes gain the same, as far as the next rank that is slow.
-        # The heaviest comes first and so is the one that is made: in the other
-        # order 72 ranks kept a skew of 3.2 where this leaves 2.6.
-        heaviest = heavy[: -HEAVIEST - 1 : -1]
-        for slot in heaviest:
-            yield from self._replicas(self._slots[slot], theirs, rank)
-        own = self._experts_at(mine)
-        foreign = [each for each in theirs if self._slots[each] not in own]
-        half = (self._loads[slowest] - self._loads[rank]) / 2
-        for slot in heaviest:
-            share = self._share_at(slot) - half
-            place = bisect_left(foreign, share, key=self._share_at)
-            first = max(0, place - NEAREST // 2)
-            for other in foreign[first : first + NEAREST]:
-                if self._may_go(slowest, self._slots[other]):
-                    yield self._exchange(slot, other)
-
-    def _replicas(
-        self, heavy: int, slots: Sequence[int], rank: int
+        slowest_slots = self._by_share(slowest)
+        target_slots = self._by_share(target)
+        target_experts = self._experts_at(target_slots)
+        movable_slots = [
+            slot
+            for slot in slowest_slots
+            if self._slots[slot] not in target_experts
+        ]
+        # Many changes gain the same amount, down to the load of the next
+        # slowest rank. Of these the first one is applied, so the heaviest
+        # expert comes first: in the opposite order 72 ranks kept a skew of 3.2,
+        # in this one 2.6.
+        heaviest_slots = movable_slots[: -MAX_HEAVY_EXPERTS - 1 : -1]
+        for slot in heaviest_slots:
+            yield from self._replica_candidates(
+                self._slots[slot], target_slots, target
+            )
+        slowest_experts = self._experts_at(slowest_slots)
+        other_slots = [
+            each
+            for each in target_slots
+            if self._slots[each] not in slowest_experts
+        ]
+        half_difference = (self._loads[slowest] - self._loads[target]) / 2
+        for slot in heaviest_slots:
+            share = self._share_at(slot) - half_difference
+            nearest = bisect_left(other_slots, share, key=self._share_at)
+            first = max(0, nearest - EXCHANGES_PER_EXPERT // 2)
+            for other in other_slots[first : first + EXCHANGES_PER_EXPERT]:
+                if self._may_hold(slowest, self._slots[other]):
+                    yield self._exchange_candidate(slot, other)
+
+    def _replica_candidates(
+        self, heavy: int, target_slots: Sequence[int], rank: int
     ) -> Iterator[_Candidate]:
-        spare = (each for each in slots if self._counts[self._slots[each]] > 1)
-        for light in islice(spare, LIGHTEST):
-            there = Move(self._number, light, heavy)
-            yield (there,), self._replicated(there, rank)
+        spare = (
+            slot for slot in target_slots if self._counts[self._slots[slot]] > 1
+        )
+        for light in islice(spare, MAX_REPLACED_EXPERTS):
+            move = Move(self._number, light, heavy)
+            yield (move,), self._replica_deltas(move, rank)
 
     def _experts_at(self, slots: Sequence[int]) -> set[int]:
         return {self._slots[slot] for slot in slots}
@@ -261,21 +290,23 @@
         return self._share(self._slots[slot])
 
     def _by_share(self, rank: int) -> list[int]:
-        """Return the slots of a rank, that with the lightest part first."""
+        """Return the slots of a rank, the one with the lightest share first."""
         slots = range(rank * self._size, (rank + 1) * self._size)
         return sorted(slots, key=self._share_at)
 
-    def _has_room(self, rank: int) -> bool:
-        return self._room is None or self._room.allows(rank, self._number)
+    def _may_copy_to(self, rank: int) -> bool:
+        return self._copy_budget is None or self._copy_budget.allows(
+            rank, self._number
+        )
 
-    def _may_go(self, rank: int, expert: int) -> bool:
-        return self._has_room(rank) or not self._is_copy(rank, expert)
+    def _may_hold(self, rank: int, expert: int) -> bool:
+        return self._may_copy_to(rank) or not self._is_copy(rank, expert)
 
     def _is_copy(self, rank: int, expert: int) -> bool:
-        blank = self._room.limits.blank if self._room else None
-        return expert != blank and (rank, expert) not in self._first
+        blank = self._copy_budget.limits.blank if self._copy_budget else None
+        return expert != blank and (rank, expert) not in self._initial
 
-    def _replicated(self, move: Move, rank: int) -> dict[int, float]:
+    def _replica_deltas(self, move: Move, rank: int) -> dict[int, float]:
         light = self._slots[move.slot]
         deltas: dict[int, float] = defaultdict(float)
         for expert, extra in ((move.expert, 1), (light, -1)):
@@ -286,14 +317,14 @@
             deltas[rank] += extra * share * self._slowness[rank]
         return deltas
 
-    def _exchange(self, slot: int, other: int) -> _Candidate:
+    def _exchange_candidate(self, slot: int, other: int) -> _Candidate:
         heavy, light = self._slots[slot], self._slots[other]
         slowest, rank = slot // self._size, other // self._size
-        there = Move(self._number, other, heavy)
-        back = Move(self._number, slot, light)
+        heavy_move = Move(self._number, other, heavy)
+        light_move = Move(self._number, slot, light)
         difference = self._share(heavy) - self._share(light)
         deltas = {
             slowest: -difference * self._slowness[slowest],
             rank: difference * self._slowness[rank],
         }
-        return (there, back), deltas
+        return (heavy_move, light_move), deltas
--- a/linnetwind/placement_levels.py
+++ b/linnetwind/placement_levels.py
@@ -1,15 +1,16 @@
-"""A plan of many changes at once: each layer brought to its best level.
+"""Plan many changes at once: bring each layer to its best load level.
 
-How low a level is worth its copies depends on the layer's demand, so several
-are tried and the one is kept that saves most time over the horizon.
+How low a load level pays for its copies depends on the demand in the layer. So
+several levels are tried, and the one that saves most time over the horizon is
+kept.
 """
 
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from linnetwind.placement import go_on, rank_loads, skew
-from linnetwind.placement_level import Levelled, LevelTask, level_layer
+from linnetwind.placement import no_pause, rank_loads, skew
+from linnetwind.placement_level import LevelledLayer, LevelTask, level_layer
 from linnetwind.placement_types import (
     ExpertMap,
     GroupLoad,
@@ -19,50 +20,57 @@
     Plan,
 )
 
-# The levels that are tried, as parts of the load of a rank in perfect balance.
-# With two more, 1.5 and 2, plans take a half longer and are as even.
-_LEVELS = (1.05, 1.2)
+# The load levels that are tried, as multiples of the load of a rank in perfect
+# balance. With two more, 1.5 and 2, planning takes half as long again and the
+# plans are no more even.
+_LOAD_LEVELS = (1.05, 1.2)
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
-    """The seconds that a change is worth, and what the layer becomes."""
+class _BestLevel:
+    """The best load level so far and its net benefit in seconds.
+
+    `levelled` is None if the layer is better left as it is.
+    """
 
     worth: float
-    levelled: Levelled | None
+    levelled: LevelledLayer | None
 
 
 def plan_levels(
     current: ExpertMap,
     load: GroupLoad,
     prices: PlacementPrices,
-    pause: Callable[[], None] = go_on,
+    pause: Callable[[], None] = no_pause,
 ) -> Plan:
     """Plan the changes that together are worth their cost.
 
     Args:
       current: The map in use.
-      load: The load that is expected.
-      prices: What a gain is worth and what a copy costs; with copy limits.
+      load: The expected load.
+      prices: The weights of gains and costs; they must have copy limits.
       pause: Called after each change.
 
     Returns:
-      The plan; without moves if nothing is worth it.
+      The plan; without moves if no change is worth its cost.
     """
-    whole = sum(map(sum, load.tokens)) / len(load.slowness)
-    if not whole:
+    mean_load = sum(map(sum, load.tokens)) / len(load.slowness)
+    if not mean_load:
         return Plan(current, (), 1, 1, 'no load is known')
-    room = [prices.copies.per_rank] * len(load.slowness)
+    copy_budget = [prices.copies.per_rank] * len(load.slowness)
     layers = list(current.layers)
-    # Where room is short, the layers that hold up the group most come first.
-    for number in _by_excess(current, load):
-        task = _task(current, load, prices, number, room)
-        kept = _best_level(task, prices, whole, pause)
-        if kept is not None:
-            layers[number] = kept.layer
-            room = [
+    # The layers that delay the group most come first, so that they get the
+    # copies where these are limited.
+    for number in _layers_by_excess(current, load):
+        task = _task(current, load, prices, number, copy_budget)
+        levelled = _best_level(task, prices, mean_load, pause)
+        if levelled is not None:
+            layers[number] = levelled.layer
+            copy_budget = [
                 left - copied
-                for left, copied in zip(room, kept.copies, strict=True)
+                for left, copied in zip(
+                    copy_budget, levelled.copies, strict=True
+                )
             ]
     target = replace(current, layers=tuple(layers))
     moves = _moves(current, target, prices.copies.blank)
@@ -70,37 +78,37 @@
     return Plan(target, moves, skew(current, load), skew(target, load), reason)
 
 
-def worth_of(plan: Plan, prices: PlacementPrices) -> float:
-    """Return what a plan is worth.
+def net_benefit(plan: Plan, prices: PlacementPrices) -> float:
+    """Return the net benefit of a plan.
 
     Args:
       plan: The plan.
-      prices: What a gain is worth and what a copy costs.
+      prices: The weights of gains and costs.
 
     Returns:
-      The seconds of a group in perfect balance that are saved over the
-      horizon, less what the copies cost.
+      The time saved over the horizon, in seconds of a perfectly balanced group,
+      less the cost of the copies.
     """
     gain = plan.skew_before - plan.skew_after
-    return _net(gain, len(plan.moves), prices)
+    return _net_seconds(gain, len(plan.moves), prices)
 
 
-def lacks_room(plan: Plan, prices: PlacementPrices) -> bool:
-    """Return whether a plan brings as many copies to a rank as it may get.
+def reaches_copy_limit(plan: Plan, prices: PlacementPrices) -> bool:
+    """Return whether a plan uses up the copy limit of a rank.
 
     Args:
       plan: The plan.
-      prices: The limits of copies.
+      prices: The weights of gains and costs; they must have copy limits.
 
     Returns:
-      Whether more room might have made a better plan.
+      Whether a higher limit might have made a better plan.
     """
     size = plan.target.slots_per_rank
     by_rank = Counter(move.slot // size for move in plan.moves)
     return max(by_rank.values(), default=0) >= prices.copies.per_rank
 
 
-def _by_excess(current: ExpertMap, load: GroupLoad) -> list[int]:
+def _layers_by_excess(current: ExpertMap, load: GroupLoad) -> list[int]:
     excess = []
     for number, layer in enumerate(current.layers):
         loads = rank_loads(
@@ -115,7 +123,7 @@
     load: GroupLoad,
     prices: PlacementPrices,
     number: int,
-    room: list[int],
+    copy_budget: list[int],
 ) -> LevelTask:
     return LevelTask(
         layer=current.layers[number],
@@ -123,34 +131,39 @@
         blank=prices.copies.blank,
         tokens=load.tokens[number],
         slowness=load.slowness,
-        room=[min(left, prices.copies.per_layer) for left in room],
-        top=0,
+        copy_budget=[
+            min(left, prices.copies.per_layer) for left in copy_budget
+        ],
+        max_load=0,
     )
 
 
 def _best_level(
     task: LevelTask,
     prices: PlacementPrices,
-    whole: float,
+    mean_load: float,
     pause: Callable[[], None],
-) -> Levelled | None:
+) -> LevelledLayer | None:
     loads = rank_loads(task.layer, task.size, task.tokens, task.slowness)
-    # A slow rank takes less than others where all end at the same time.
-    even = sum(task.tokens) / sum(1 / slow for slow in task.slowness)
-    best = _Kept(0, None)
-    for level in _LEVELS:
-        if even * level >= max(loads):
+    # A slow rank gets less load than the others if all are to finish at the
+    # same time.
+    balanced_load = sum(task.tokens) / sum(1 / slow for slow in task.slowness)
+    best = _BestLevel(0, None)
+    for level in _LOAD_LEVELS:
+        if balanced_load * level >= max(loads):
             break
-        levelled = level_layer(replace(task, top=even * level), pause)
-        gain = (max(loads) - levelled.slowest) / whole
-        worth = _net(gain, sum(levelled.copies), prices)
+        levelled = level_layer(
+            replace(task, max_load=balanced_load * level), pause
+        )
+        gain = (max(loads) - levelled.slowest) / mean_load
+        worth = _net_seconds(gain, sum(levelled.copies), prices)
         if worth > best.worth:
-            best = _Kept(worth, levelled)
+            best = _BestLevel(worth, levelled)
     return best.levelled
 
 
-def _net(gain: float, copies: int, prices: PlacementPrices) -> float:
-    """Return the seconds that a gain in skew saves, less its copies."""
+def _net_seconds(gain: float, copies: int, prices: PlacementPrices) -> float:
+    """Return the seconds that a gain in skew saves, net of copy costs."""
     saved = gain * prices.horizon
     cost = copies * prices.seconds_per_move
     return prices.skew_weight * saved - prices.cost_weight * cost
@@ -170,9 +183,9 @@
     before: LayerMap, after: LayerMap, size: int, blank: int
 ) -> list[int]:
     """Return the slots whose expert is new to their rank."""
-    found = []
+    new_slots = []
     for start in range(0, len(before), size):
         held = {blank, *before[start : start + size]}
         slots = range(start, start + size)
-        found.extend(slot for slot in slots if after[slot] not in held)
-    return found
+        new_slots.extend(slot for slot in slots if after[slot] not in held)
+    return new_slots
--- a/linnetwind/placement_levels_test.py
+++ b/linnetwind/placement_levels_test.py
@@ -5,7 +5,11 @@
 import pytest
 
 from linnetwind.placement import even_map, moves_between, plan_moves, skew
-from linnetwind.placement_levels import lacks_room, plan_levels, worth_of
+from linnetwind.placement_levels import (
+    net_benefit,
+    plan_levels,
+    reaches_copy_limit,
+)
 from linnetwind.placement_pack import full_map
 from linnetwind.placement_types import (
     CopyLimits,
@@ -38,11 +42,11 @@
         (72, 3, 12, 144, 1.1),
     ],
 )
-def test_two_plans_come_near_to_packing_from_nothing(
+def test_two_plans_come_close_to_packing_from_scratch(
     ranks, size, layers, experts, power
 ):
-    # Copies are cheap and quick. One rank in hundreds that is twice as slow
-    # doubles the pauses in all streams of the group.
+    # Copies are cheap and quick here. One rank in hundreds that is twice as
+    # slow doubles the pauses in all streams of the group.
     current = even_map(ranks, size, layers, experts)
     load = _load(1, ranks, layers, experts, power)
     prices = _prices(experts, per_rank=20, per_layer=2)
@@ -51,7 +55,7 @@
     assert skew(current, load) < 1.1 * skew(full_map(current, load), load)
 
 
-def test_a_slow_rank_gets_less():
+def test_a_slow_rank_gets_less_load():
     current = even_map(16, 3, 2, 32)
     load = _load(1, 16, 2, 32)
     slowness = (*(1.0,) * 15, 3.0)
@@ -76,7 +80,7 @@
     assert len(plan.moves) == moves_between(current, plan.target)
 
 
-def test_no_rank_gets_more_copies_in_all_than_it_may():
+def test_no_rank_exceeds_its_copy_limit_over_all_layers():
     current = even_map(16, 3, 6, 32)
     prices = _prices(32, per_rank=3, per_layer=2)
     plan = plan_levels(current, _load(1, 16, 6, 32), prices)
@@ -84,21 +88,21 @@
     for move in plan.moves:
         by_rank[move.slot // 3] += 1
     assert max(by_rank) == 3
-    assert lacks_room(plan, prices)
+    assert reaches_copy_limit(plan, prices)
 
 
-def test_where_room_is_short_single_changes_may_be_worth_more():
-    # Both plans are made then, and weighed by the same prices.
+def test_with_few_copies_single_changes_can_be_worth_more():
+    # Then both plans are made and compared by the same prices.
     current = even_map(32, 5, 12, 128)
     load = _load(2, 32, 12, 128, power=1.1)
     prices = _prices(128, per_rank=3, per_layer=2)
-    levelled = plan_levels(current, load, prices)
-    stepped = plan_moves(current, load, prices)
-    assert lacks_room(levelled, prices)
-    assert worth_of(stepped, prices) > worth_of(levelled, prices)
+    level_plan = plan_levels(current, load, prices)
+    stepwise_plan = plan_moves(current, load, prices)
+    assert reaches_copy_limit(level_plan, prices)
+    assert net_benefit(stepwise_plan, prices) > net_benefit(level_plan, prices)
 
 
-def test_without_load_nothing_is_planned():
+def test_unknown_load_plans_nothing():
     current = even_map(4, 3, 2, 8)
     load = GroupLoad(((0.0,) * 9,) * 2, (1.0,) * 4)
     assert plan_levels(current, load, _prices(8, 6, 2)).moves == ()
--- a/linnetwind/placement_pack.py
+++ b/linnetwind/placement_pack.py
@@ -1,9 +1,9 @@
-"""Packing a layer from scratch, and getting there with few moves.
+"""Pack a layer from scratch, and reach the packed layer with few moves.
 
-Packing is the greedy method known from published balancers: replicate the
-hottest experts, then place the heaviest shares first, each on the lightest
-rank. A packed layer names no particular rank, so its parts are matched to
-the ranks that already hold most of them.
+Packing is the greedy method of published balancers: replicate the hottest
+experts, then place the heaviest shares first, each on the least loaded rank.
+The parts of a packed layer belong to no particular rank, so each part is
+assigned to a rank that already holds most of its experts.
 """
 
 import heapq
@@ -16,13 +16,13 @@
 
 
 def full_map(current: ExpertMap, load: GroupLoad) -> ExpertMap:
-    """Compute a map anew: replicate the hottest, pack heaviest first.
+    """Compute a map from scratch: replicate the hottest, pack heaviest first.
 
-    This is the greedy method known from published balancers; it is the
-    baseline and the bound of what a plan can reach.
+    This greedy method of published balancers is the baseline for plans, and the
+    bound of what they can reach.
 
     Args:
-      current: Gives the size of the group.
+      current: The map that gives the size of the group.
       load: The load.
 
     Returns:
@@ -41,17 +41,17 @@
     tokens: Sequence[float],
     slowness: Sequence[float],
 ) -> LayerMap:
-    """Pack a layer from scratch, near to the map in use.
+    """Pack a layer from scratch, as close as possible to the map in use.
 
     Args:
       layer: The map in use.
-      size: The slots of a rank.
+      size: The number of slots per rank.
       tokens: The load of each expert.
-      slowness: The factor of each rank.
+      slowness: The slowness factor of each rank.
 
     Returns:
-      The packed map, its parts given to ranks that hold most of them and
-      each expert that stays left in its slot.
+      The packed map. Its parts are assigned to ranks that hold most of their
+      experts, and an expert that stays on its rank keeps its slot.
     """
     packed = _parts(_pack(len(layer), size, tokens, slowness), size)
     held = _parts(layer, size)
@@ -69,8 +69,8 @@
             matched[rank] = part
     return tuple(
         chain.from_iterable(
-            _in_place(before, packed[matched[place]])
-            for place, before in enumerate(held)
+            _keep_slots(before, packed[matched[holder]])
+            for holder, before in enumerate(held)
         )
     )
 
@@ -83,7 +83,7 @@
     return (Counter(held) & Counter(part)).total()
 
 
-def _in_place(held: LayerMap, part: LayerMap) -> list[int]:
+def _keep_slots(held: LayerMap, part: LayerMap) -> list[int]:
     coming = Counter(part) - Counter(held)
     staying = Counter(part) & Counter(held)
     new = list(coming.elements())
@@ -103,7 +103,7 @@
     tokens: Sequence[float],
     slowness: Sequence[float],
 ) -> LayerMap:
-    replicas = _share_out(slots, tokens, len(slowness))
+    replicas = _count_replicas(slots, tokens, len(slowness))
     heaviest = sorted(
         (
             pair
@@ -115,13 +115,15 @@
     ranks: list[list[int]] = [[] for _rank in slowness]
     loads = [float(0)] * len(slowness)
     for share, packed in heaviest:
-        rank = _lightest_with_room(ranks, loads, size, packed)
+        rank = _lightest_rank_with_slot(ranks, loads, size, packed)
         ranks[rank].append(packed)
         loads[rank] += share * slowness[rank]
     return tuple(chain.from_iterable(ranks))
 
 
-def _share_out(slots: int, tokens: Sequence[float], most: int) -> list[int]:
+def _count_replicas(
+    slots: int, tokens: Sequence[float], max_replicas: int
+) -> list[int]:
     counts = [1] * len(tokens)
     queue = [(-load, expert) for expert, load in enumerate(tokens)]
     heapq.heapify(queue)
@@ -129,15 +131,15 @@
         _share, expert = heapq.heappop(queue)
         counts[expert] += 1
         share = -tokens[expert] / counts[expert]
-        # More replicas than ranks would be of no use.
-        share = share if counts[expert] < most else float(1)
+        # More replicas than ranks are useless, so stop replicating this expert.
+        share = share if counts[expert] < max_replicas else float(1)
         heapq.heappush(queue, (share, expert))
     return counts
 
 
-def _lightest_with_room(
+def _lightest_rank_with_slot(
     ranks: list[list[int]], loads: list[float], size: int, expert: int
 ) -> int:
     open_ranks = [rank for rank, held in enumerate(ranks) if len(held) < size]
-    fresh = [rank for rank in open_ranks if expert not in ranks[rank]]
-    return min(fresh or open_ranks, key=loads.__getitem__)
+    without_expert = [rank for rank in open_ranks if expert not in ranks[rank]]
+    return min(without_expert or open_ranks, key=loads.__getitem__)
--- a/linnetwind/placement_test.py
+++ b/linnetwind/placement_test.py
@@ -1,4 +1,4 @@
-"""Tests of the placement: gains, prices, and that it does not oscillate."""
+"""Tests of placement by single changes: gains, prices, no oscillation."""
 
 import random
 
@@ -17,7 +17,7 @@
 from linnetwind.placement_types import GroupLoad, PlacementPrices
 
 CHEAP = PlacementPrices(120, 4, 1, 0.02, 64)
-DEAR = PlacementPrices(120, 1, 100_000, 0.02, 64)
+EXPENSIVE = PlacementPrices(120, 1, 100_000, 0.02, 64)
 
 
 def hot_load(seed, ranks=8, layers=2, experts=16):
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_gain_of_a_change_is_what_adding_up_gives(seed):
+def test_gain_of_a_change_matches_the_sum_of_loads(seed):
     rng = random.Random(seed)
     load = hot_load(seed)
     slowness = tuple(rng.choice((1.0, 1.0, 2.0)) for _rank in range(8))
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_every_expert_keeps_a_place(seed):
+def test_every_expert_keeps_a_slot(seed):
     load = hot_load(seed)
     plan = plan_moves(even_map(8, 3, 2, 16), load, CHEAP)
     assert plan.moves
@@ -66,14 +66,14 @@
     assert plan.skew_after < plan.skew_before
 
 
-def test_nothing_moves_when_moving_is_dear():
-    plan = plan_moves(even_map(8, 3, 2, 16), hot_load(3), DEAR)
+def test_nothing_moves_when_moves_are_expensive():
+    plan = plan_moves(even_map(8, 3, 2, 16), hot_load(3), EXPENSIVE)
     assert plan.moves == ()
     assert plan.reason == 'the next move costs more than it gains'
 
 
 def test_same_load_does_not_move_anything_twice():
-    # A policy that oscillates pays for the same gain again and again.
+    # A planner that oscillates pays for the same gain again and again.
     load = hot_load(5)
     current = even_map(8, 3, 2, 16)
     for _round in range(10):
@@ -81,18 +81,18 @@
     assert plan_moves(current, load, CHEAP).moves == ()
 
 
-def test_repacked_layer_holds_the_packed_parts():
+def test_repacked_layer_is_a_permutation_of_the_packed_one():
     load = hot_load(2)
     layer = even_map(8, 3, 1, 16).layers[0]
     packed = full_map(even_map(8, 3, 2, 16), load).layers[0]
-    near = repack(layer, 3, load.tokens[0], load.slowness)
-    assert sorted(near) == sorted(packed)
-    assert max(rank_loads(near, 3, load.tokens[0], load.slowness)) == (
+    repacked = repack(layer, 3, load.tokens[0], load.slowness)
+    assert sorted(repacked) == sorted(packed)
+    assert max(rank_loads(repacked, 3, load.tokens[0], load.slowness)) == (
         pytest.approx(max(rank_loads(packed, 3, load.tokens[0], load.slowness)))
     )
 
 
-def test_slow_rank_is_given_less():
+def test_slow_rank_gets_less_load():
     tokens = (tuple([1.0] * 16),)
     load = GroupLoad(tokens, (3.0, *([1.0] * 7)))
     current = even_map(8, 3, 1, 16)
@@ -100,7 +100,7 @@
     assert plan.skew_after < plan.skew_before
 
 
-def test_no_load_known_changes_nothing():
+def test_unknown_load_changes_nothing():
     load = GroupLoad((tuple([0.0] * 16),) * 2, (1.0,) * 8)
     plan = plan_moves(even_map(8, 3, 2, 16), load, CHEAP)
     assert plan.reason == 'no load is known'
@@ -116,8 +116,8 @@
     )
 
 
-def test_missing_counts_keep_the_former_load():
-    # The counts of a layer are late: it must not look idle.
+def test_missing_counts_keep_the_previous_load():
+    # The counts of a layer are late: it must not be treated as idle.
     first = take_counts(LoadEstimate(), [[1.0, 3.0], [2.0, 2.0]], [1.0])
     second = take_counts(first, [[0.0, 0.0], [4.0, 0.0]], [1.0])
     assert second.load.tokens[0] == (1.0, 3.0)
@@ -133,9 +133,9 @@
 
 
 def test_a_plan_pauses_after_each_search():
-    # The planner's process also passes events of streams on. Planned in one
-    # go, 8 ranks of 11 places in 6 layers took 0.1 to 0.2 s, in which no
-    # stream of that host moved; callers saw pauses in each of them.
+    # The planner's process also relays the events of streams. Planned in one
+    # go, 8 ranks of 11 slots in 6 layers took 0.1 to 0.2 s, during which no
+    # stream of that host advanced; callers saw a pause in each of them.
     load = hot_load(3)
     pauses = []
     plan = plan_moves(
--- a/linnetwind/placement_types.py
+++ b/linnetwind/placement_types.py
@@ -1,15 +1,15 @@
-"""Expert maps and what is known of the load, as data types."""
+"""Data types for expert maps, expert load and plans."""
 
 from dataclasses import dataclass
 
-# The experts in a layer's slots, rank by rank: slot s of rank r is at
+# The expert in each slot of a layer, rank by rank: slot s of rank r is at
 # position r * slots_per_rank + s.
 LayerMap = tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class ExpertMap:
-    """Which expert is in which slot of which rank, for each layer."""
+    """The expert in each slot of each rank, for each layer."""
 
     slots_per_rank: int
     layers: tuple[LayerMap, ...]
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True)
 class GroupLoad:
-    """Tokens per expert in each layer, and how slow each rank runs.
+    """The tokens of each expert by layer, and the slowness of each rank.
 
-    `slowness` is 1 for a rank of usual speed and 2 for one that takes
-    twice as long for the same tokens.
+    `slowness` is 1 for a rank of usual speed and 2 for one that takes twice as
+    long for the same tokens.
     """
 
     tokens: tuple[tuple[float, ...], ...]
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyLimits:
-    """How many experts that are new to a rank one plan may bring there.
+    """How many experts that a rank does not hold one plan may copy to it.
 
-    `per_rank` bounds the time that copying takes, `per_layer` is what the
-    engine accepts at once. `blank` is the number that stands for an empty
-    slot, which needs no copy.
+    `per_rank` bounds the time that the copies take; `per_layer` is the number
+    that the engine accepts in one order. `blank` is the expert number that
+    stands for an empty slot, which needs no copy.
     """
 
     per_rank: int
@@ -48,11 +48,13 @@
 
 @dataclass(frozen=True)
 class PlacementPrices:
-    """What a move is worth and what it costs.
+    """The weights that compare what a plan gains with what it costs.
 
-    `horizon` is the time in seconds over which a gain is counted;
-    `seconds_per_move` is the time for which moving one expert loads the
-    weight store and a rank.
+    `horizon` is the time in seconds over which a gain is counted.
+    `seconds_per_move` is the cost of moving one expert, in seconds for which
+    the move occupies the weight store and a rank. `skew_weight` multiplies the
+    gain, `cost_weight` the cost. `max_moves` bounds the moves of one plan;
+    `copies` is None if copies are not limited.
     """
 
     horizon: float
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Load an expert into a slot, in place of what was there."""
+    """Load an expert into a slot, replacing the expert that it held."""
 
     layer: int
     slot: int
@@ -74,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The next map, the moves to it, and why it is not more or less."""
+    """The next map, the moves that lead to it, and why planning stopped."""
 
     target: ExpertMap
     moves: tuple[Move, ...]
