--- a/linnetwind/expert_demand.py
+++ b/linnetwind/expert_demand.py
@@ -1,4 +1,4 @@
-"""Which experts are in demand now, from counts that only grow."""
+"""Estimate which experts are in demand now, from cumulative counts."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,56 +9,67 @@
 from linnetwind.rank_packing import split_counts
 from linnetwind.rank_types import CountLanes
 
-# Half of the demand that was seen is forgotten after this time. The popular
-# experts change within seconds; a tenth of a second holds thousands of
-# choices already. At 400 ms the plan still went by what was in demand before:
-# the most loaded rank had 2.0 times the mean, at 150 ms 1.89 (72 ranks, half
-# of the popular experts changed every 2.3 s).
+# The half-life of the weight of counted demand. The popular experts change
+# within seconds, and a tenth of a second already holds thousands of choices.
+# With 400 ms the plan still followed the demand from before a change: the most
+# loaded rank had 2.0 times the mean load, with 150 ms 1.89 times (72 ranks,
+# half of the popular experts changed every 2.3 s).
 _HALF_LIFE_MS = 150
 HALF_LIFE = timedelta(milliseconds=_HALF_LIFE_MS)
 
 
 @dataclass(frozen=True)
 class ExpertDemand:
-    """The recent choices of each expert, over all layers in a row."""
+    """How often each expert was chosen recently.
 
-    seen: Mapping[int, CountLanes] = field(default_factory=dict)
+    `last_counts` holds the last counts of each rank, `recent` the decayed
+    demand of each expert, layer after layer in one row, and `updated_at` the
+    monotonic time of the last update.
+    """
+
+    last_counts: Mapping[int, CountLanes] = field(default_factory=dict)
     recent: tuple[float, ...] = ()
-    at: timedelta = timedelta()
+    updated_at: timedelta = timedelta()
 
-    def take(self, counts: Mapping[int, CountLanes], now: timedelta) -> Self:
-        """Return the demand after newer counts.
+    def apply_counts(
+        self, counts: Mapping[int, CountLanes], now: timedelta
+    ) -> Self:
+        """Return the demand updated with newer counts.
 
         Args:
-          counts: The counts of each rank that has answered.
+          counts: The counts of each rank that has replied.
           now: The monotonic time.
 
         Returns:
-          The demand. A rank that is seen for the first time, has formed or
-          started anew since, adds nothing yet.
+          The new demand. A rank adds nothing yet if these are its first counts,
+          or its first since it restarted or its group formed again.
         """
-        decay = 0.5 ** ((now - self.at) / HALF_LIFE)
-        size = max((each.size for each in counts.values()), default=0)
+        decay = 0.5 ** ((now - self.updated_at) / HALF_LIFE)
+        size = max(
+            (rank_counts.size for rank_counts in counts.values()), default=0
+        )
         recent = self.recent or (float(0),) * size
-        grown = sum(
-            new.lanes - self.seen[rank].lanes
+        increase = sum(
+            new.lanes - self.last_counts[rank].lanes
             for rank, new in counts.items()
-            if new.size == len(recent) and goes_on(self.seen.get(rank), new)
+            if new.size == len(recent)
+            and goes_on(self.last_counts.get(rank), new)
         )
-        added = split_counts(grown, len(recent))
+        added = split_counts(increase, len(recent))
         recent = tuple(
-            held * decay + new for held, new in zip(recent, added, strict=True)
+            old * decay + new for old, new in zip(recent, added, strict=True)
         )
-        return ExpertDemand({**self.seen, **counts}, recent, now)
+        return ExpertDemand({**self.last_counts, **counts}, recent, now)
 
     def by_layer(self, layers: int) -> tuple[tuple[float, ...], ...]:
-        """Return the demand by layer.
+        """Return the demand divided into layers.
 
         Args:
           layers: The number of layers.
 
         Returns:
-          For each layer the demand of each expert; empty before any count.
+          The demand of each expert, for each layer; without experts before the
+          first counts.
         """
         size = len(self.recent) // max(1, layers)
         return tuple(
--- a/linnetwind/expert_load.py
+++ b/linnetwind/expert_load.py
@@ -1,4 +1,4 @@
-"""Expert load over time: late, with gaps, and drifting."""
+"""Estimate the load of experts from late, missing and drifting counts."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -6,16 +6,16 @@
 from linnetwind.placement_types import GroupLoad
 
 _SMOOTHING = 0.5
-_LEAST_TRUST = 0.1
+_MIN_TRUST = 0.1
 
 
 @dataclass(frozen=True)
 class LoadEstimate:
-    """A smoothed load, and how much of it has lasted from count to count.
+    """A smoothed load, and how much of it persists from count to count.
 
-    `trust` is 1 when each count looks like the last and falls towards 0
-    when they have nothing in common; gains are counted for that part of
-    the horizon only.
+    `trust` is 1 when each count resembles the last one and falls towards 0 when
+    they have nothing in common. Gains are counted only for that fraction of the
+    horizon.
     """
 
     load: GroupLoad | None = None
@@ -27,16 +27,16 @@
     tokens: Sequence[Sequence[float]],
     slowness: Sequence[float],
 ) -> LoadEstimate:
-    """Take in a new count.
+    """Return the estimate updated with a new count.
 
     Args:
-      estimate: The estimate before.
-      tokens: Tokens per expert in each layer since the last count; a layer
-        without any keeps its former load, since its count may be missing.
-      slowness: The factor of each rank.
+      estimate: The estimate so far.
+      tokens: The tokens of each expert by layer since the last count. A layer
+        without any keeps its previous load, since its count may be missing.
+      slowness: The slowness factor of each rank.
 
     Returns:
-      The estimate after.
+      The new estimate.
     """
     if estimate.load is None:
         first = GroupLoad(
@@ -54,16 +54,17 @@
             layers.append(old)
     trust = estimate.trust
     if overlaps:
-        lasting = sum(overlaps) / len(overlaps)
-        trust += (lasting - trust) * _SMOOTHING
+        persistence = sum(overlaps) / len(overlaps)
+        trust += (persistence - trust) * _SMOOTHING
     load = GroupLoad(tuple(layers), tuple(slowness))
-    return replace(estimate, load=load, trust=max(trust, _LEAST_TRUST))
+    return replace(estimate, load=load, trust=max(trust, _MIN_TRUST))
 
 
 def _scaled(tokens: Sequence[float], total: float) -> tuple[float, ...]:
-    # Only the mix matters; a quiet interval must not look like a change.
+    # Only the proportions matter: an interval with few requests must not look
+    # like a change of demand.
     factor = total / sum(tokens) if total else 1
-    return tuple(each * factor for each in tokens)
+    return tuple(count * factor for count in tokens)
 
 
 def _overlap(old: Sequence[float], new: Sequence[float]) -> float:
--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -219,7 +219,9 @@
         for group in planned.groups.values():
             take_ranks(group, observed.get(group.name, {}), now)
             if with_counts:
-                group.demand = group.demand.take(counts_of(group.ranks), now)
+                group.demand = group.demand.apply_counts(
+                    counts_of(group.ranks), now
+                )
 
     def _poll_group(self, group: PlannedGroup) -> Reports:
         """Poll the ranks of a group between two rounds."""
--- a/linnetwind/rank_packing.py
+++ b/linnetwind/rank_packing.py
@@ -1,13 +1,15 @@
-"""Counts and expert maps as bytes, for links of a few megabits.
-
-Counts of many ranks are added up as whole numbers with a lane of 32 bits for
-each expert: 192 ranks with 3,840 experts take 5 ms so, and 55 ms one by one.
-What a rank has counted since it was last asked is mostly zeros and small
-numbers, which pack well: 0.5 to 5 KB in place of 15.4 for 3,840 experts.
-
-A map of 12 layers and 72 ranks goes to every rank at once, through the link
-of one planner. As lists of numbers it takes 5.6 KB a rank, 0.16 s for all on
-20 Mbit/s; packed it takes 3.2 KB, and it is made once for all ranks.
+"""Pack counts and expert maps into bytes, for links of a few megabits.
+
+Counts of many ranks are added as large integers with a lane of 32 bits for each
+expert: for 192 ranks with 3,840 experts this takes 5 ms, against 55 ms when
+counts are added one by one. The counts since the last poll are mostly zeros and
+small numbers, which compress well: to between 0.5 and 5 KB instead of 15.4 KB
+for 3,840 experts.
+
+A map of 12 layers and 72 ranks is sent to all ranks at once, through the link
+of a single planner. As lists of numbers it takes 5.6 KB per rank, 0.16 s for
+all ranks at 20 Mbit/s; packed it takes 3.2 KB, and it is packed once for all
+ranks.
 """
 
 import struct
@@ -19,42 +21,43 @@
 from linnetwind.rank_types import RankMaps
 
 _COUNT_BYTES = 4
-_COUNT_RANGE = 4_294_967_296
+_COUNT_MODULUS = 4_294_967_296
 _TOP_BIT = 2_147_483_648
 _SHAPE = struct.Struct('<HH')
 _NUMBER_BYTES = 2
-# Packing is shared by the ranks of one rollout, and by few groups at a time.
-_KEPT_MAPS = 4
-# What reading other bytes raises; an iterator that ends early within a
-# generator raises RuntimeError.
-_NOT_A_MAP = (zlib.error, struct.error, RuntimeError)
+# How many packed maps are cached. All ranks of a rollout share one, and only a
+# few groups run a rollout at a time.
+_CACHE_SIZE = 4
+# The exceptions that unpacking invalid bytes raises. RuntimeError comes from an
+# iterator that ends early inside a generator.
+_UNPACK_ERRORS = (zlib.error, struct.error, RuntimeError)
 
 
 class NotPacked(ValueError):
-    """Bytes that are no packed counts or map."""
+    """The bytes are not valid packed counts or a valid packed map."""
 
 
 def join_counts(counts: Sequence[int]) -> int:
-    """Return counts as one number with a lane for each.
+    """Return counts joined into one integer with a lane for each count.
 
     Args:
       counts: Numbers from 0; they wrap around at 32 bits.
 
     Returns:
-      The number. Such numbers may be added, and subtracted where no lane
-      grows smaller.
+      The integer. Such integers may be added, and subtracted if no lane
+      decreases.
     """
-    wrapped = (count % _COUNT_RANGE for count in counts)
+    wrapped = (count % _COUNT_MODULUS for count in counts)
     packed = struct.pack(f'<{len(counts)}I', *wrapped)
     return int.from_bytes(packed, 'little')
 
 
 def split_counts(lanes: int, size: int) -> tuple[int, ...]:
-    """Return the counts in a number of lanes.
+    """Return the counts in the lanes of an integer.
 
     Args:
-      lanes: What `join_counts` returned, or a sum of such.
-      size: How many counts there are.
+      lanes: A result of `join_counts`, or a sum of such results.
+      size: The number of counts.
 
     Returns:
       The counts.
@@ -66,22 +69,22 @@
 def may_subtract(lanes: int, before: int, size: int) -> bool:
     """Return whether no lane is smaller than it was before.
 
-    With a smaller lane a difference would borrow from the next one, and an
-    expert that nobody chose would seem in great demand.
+    If a lane were smaller, the subtraction would borrow from the next lane, and
+    an expert that nobody chose would seem to be in great demand.
 
     Args:
       lanes: Counts below 2**31.
-      before: Older ones.
-      size: How many counts there are.
+      before: Older counts.
+      size: The number of counts.
 
     Returns:
-      Whether `before` may be taken off.
+      Whether `before` may be subtracted.
     """
     tops = _top_bits(size)
     return ((lanes | tops) - before) & tops == tops
 
 
-@lru_cache(_KEPT_MAPS)
+@lru_cache(_CACHE_SIZE)
 def _top_bits(size: int) -> int:
     return join_counts((_TOP_BIT,) * size)
 
@@ -90,8 +93,8 @@
     """Return lanes as compressed bytes.
 
     Args:
-      lanes: What `join_counts` returned, or a difference of such.
-      size: How many counts there are.
+      lanes: A result of `join_counts`, or a difference of such results.
+      size: The number of counts.
 
     Returns:
       The bytes.
@@ -100,29 +103,29 @@
 
 
 def unpack_lanes(packed: bytes, size: int) -> int:
-    """Return what `pack_lanes` has packed.
+    """Return the lanes that `pack_lanes` has packed.
 
     Args:
       packed: The bytes.
-      size: How many counts there should be.
+      size: The expected number of counts.
 
     Returns:
       The lanes.
 
     Raises:
-      NotPacked: These are not the bytes of so many counts.
+      NotPacked: The bytes do not hold this number of counts.
     """
     unpacker = zlib.decompressobj()
     try:
         plain = unpacker.decompress(packed, size * _COUNT_BYTES + 1)
     except zlib.error as error:
-        raise NotPacked(f'counts: {error!r}') from error
+        raise NotPacked(f'cannot unpack counts: {error!r}') from error
     if not unpacker.eof or len(plain) != size * _COUNT_BYTES:
-        raise NotPacked(f'{len(plain)} bytes of {size} counts')
+        raise NotPacked(f'{len(plain)} bytes do not hold {size} counts')
     return int.from_bytes(plain, 'little')
 
 
-@lru_cache(_KEPT_MAPS)
+@lru_cache(_CACHE_SIZE)
 def pack_maps(maps: RankMaps) -> bytes:
     """Return a map as compressed bytes.
 
@@ -130,8 +133,8 @@
       maps: The experts of each rank by layer, numbers below 65,536.
 
     Returns:
-      The bytes: layers and ranks, the number of experts of each rank by
-      layer, then the experts.
+      The bytes: the numbers of layers and ranks, the number of experts of each
+      rank by layer, then the experts.
     """
     ranks = [experts for layer in maps for experts in layer]
     numbers = [*map(len, ranks), *chain.from_iterable(ranks)]
@@ -140,7 +143,7 @@
 
 
 def unpack_maps(packed: bytes) -> RankMaps:
-    """Return what `pack_maps` has packed.
+    """Return the map that `pack_maps` has packed.
 
     Args:
       packed: The bytes.
@@ -149,12 +152,12 @@
       The map.
 
     Raises:
-      NotPacked: These are not the bytes of a map.
+      NotPacked: The bytes do not hold a map.
     """
     try:
         return _unpack(zlib.decompress(packed))
-    except _NOT_A_MAP as error:
-        raise NotPacked(f'a map: {error!r}') from error
+    except _UNPACK_ERRORS as error:
+        raise NotPacked(f'cannot unpack a map: {error!r}') from error
 
 
 def _unpack(plain: bytes) -> RankMaps:
