--- a/linnetwind/group_planner.py
+++ b/linnetwind/group_planner.py
@@ -1,8 +1,9 @@
-"""The coordinator's part of a group: taking the role, planning, switching.
+"""Coordinate an expert group: take the role, plan maps, start switches.
 
-Every side of the group may become coordinator: the one of the lowest rank
-first, the others after longer silences. Two at a time do no harm; the log
-decides whose maps are wanted, and the ranks' unanimity whose is used.
+Every side daemon of a group may become its coordinator: the one of the lowest
+rank first, the others after longer timeouts. Two coordinators at a time do no
+harm: the log decides whose map is the target, and a map is used only if all
+ranks agree.
 """
 
 from collections.abc import Callable
@@ -39,26 +40,30 @@
 from linnetwind.placement import even_map, plan_moves
 from linnetwind.placement_types import ExpertMap, PlacementPrices, Plan
 
+# A side takes the role if it has not heard of the coordinator for this long,
+# plus the time per rank, so that sides of higher ranks wait longer.
 SILENCE = timedelta(seconds=5)
-SILENCE_PER_RANK = timedelta(seconds=1)
-SIGN_INTERVAL = timedelta(seconds=2)
+TIMEOUT_PER_RANK = timedelta(seconds=1)
+HEARTBEAT_INTERVAL = timedelta(seconds=2)
 
-# The role and the map wanted are repeated in the log this often, which has
-# to be well below its retention.
+# The role and the target map are written to the log again this often. This has
+# to be well below the log's retention.
 RENEW_INTERVAL = timedelta(minutes=10)
+# The number of steps from the newest reported one to the one at which the ranks
+# switch to a new map.
 LEAD_STEPS = 100
 
-# The part of the weight store's rate that one group counts on.
+# The share of the weight store's rate that one group may assume.
 STORE_BYTES_PER_SECOND = 1_000_000_000
 
-_LOOK = timedelta(seconds=1)
+_ROLE_CHECK_INTERVAL = timedelta(seconds=1)
 _ATTEMPT_TIMEOUT = timedelta(seconds=10)
 
 Counts = Callable[[], list[list[float]]]
 
 
 class GroupPlanner:
-    """Plans and starts switches while this side coordinates its group."""
+    """Plans maps and starts switches while this side coordinates its group."""
 
     def __init__(
         self, group: Group, rank: int, name: str, log: LogPort, clock: Clock
@@ -67,10 +72,10 @@
 
         Args:
           group: The group's configuration.
-          rank: This side's rank.
-          name: This incarnation's name in the log.
+          rank: The rank of this side.
+          name: The name of this incarnation in the log.
           log: The log service.
-          clock: For silences and intervals.
+          clock: The clock for timeouts and intervals.
         """
         self._group = group
         self._rank = rank
@@ -79,18 +84,18 @@
         self._clock = clock
         now = clock.elapsed()
         self._role = GroupRole()
-        self._heard = now
-        self._next_look = now
+        self._coordinator_seen_at = now
+        self._next_role_check = now
         self._next_plan = now
-        self._next_sign = now
+        self._next_heartbeat = now
         self._next_renewal = now + RENEW_INTERVAL
         self._estimate = LoadEstimate()
         self._coordination: Coordination | None = None
-        self._begun = now
-        self._number = 0
+        self._attempt_started = now
+        self._last_number = 0
 
     def take_group(self, group: Group) -> None:
-        """Replace the group's settings.
+        """Replace the group's configuration.
 
         Args:
           group: The configuration in force.
@@ -98,46 +103,46 @@
         self._group = group
 
     def saw_coordinator(self, note: Note) -> None:
-        """Take note of a coordinator at work.
+        """Record that a coordinator is active.
 
         Args:
           note: A note from another side.
         """
         if isinstance(note, Prepare):
-            self._heard = self._clock.elapsed()
+            self._coordinator_seen_at = self._clock.elapsed()
 
     def tick(self, status: RankStatus, counts: Counts) -> tuple[Send, ...]:
         """Do what is due.
 
         Args:
-          status: The own rank's status.
-          counts: Reads the tokens per expert.
+          status: The status of this side's own rank.
+          counts: Reads the tokens of each expert.
 
         Returns:
           The notes to send.
         """
         now = self._clock.elapsed()
-        if now >= self._next_look:
-            self._next_look = now + _LOOK
+        if now >= self._next_role_check:
+            self._next_role_check = now + _ROLE_CHECK_INTERVAL
             self._read_role()
-            self._maybe_take_role(now)
+            self._maybe_acquire_role(now)
         if self._role.holder != self._name:
             self._coordination = None
             return ()
-        self._maybe_renew(now)
+        self._maybe_renew_records(now)
         if self._coordination is not None:
-            return self._go_on(status, now)
+            return self._continue_attempt(status, now)
         if now < self._next_plan:
-            return self._signs_of_life(status, now)
+            return self._heartbeats(status, now)
         interval = self._group.placement.interval_seconds
         self._next_plan = now + timedelta(seconds=interval)
         return self._plan(status, counts())
 
     def take_prepared(self, note: Prepared) -> tuple[Send, ...]:
-        """Take a rank's answer to the attempt under way.
+        """Apply a rank's reply to the current attempt.
 
         Args:
-          note: The answer.
+          note: The reply.
 
         Returns:
           The notes to send.
@@ -155,18 +160,18 @@
             before = self._role
             self._role = fold_role(before, page.ok_value.entries)
             if self._role.epoch != before.epoch:
-                self._heard = self._clock.elapsed()
+                self._coordinator_seen_at = self._clock.elapsed()
 
-    def _maybe_take_role(self, now: timedelta) -> None:
+    def _maybe_acquire_role(self, now: timedelta) -> None:
         if self._role.holder == self._name:
-            self._heard = now
+            self._coordinator_seen_at = now
             return
-        silence = SILENCE + SILENCE_PER_RANK * self._rank
+        timeout = SILENCE + TIMEOUT_PER_RANK * self._rank
         if not self._role.holder:
-            silence = SILENCE_PER_RANK * self._rank
-        if now - self._heard < silence:
+            timeout = TIMEOUT_PER_RANK * self._rank
+        if now - self._coordinator_seen_at < timeout:
             return
-        self._heard = now
+        self._coordinator_seen_at = now
         record = GROUP_CODEC.encode(Coordinate(self._name, self._role.epoch))
         self._log.append(stream_of_group(self._group.name), [record])
         self._read_role()
@@ -175,18 +180,20 @@
             {'group': self._group.name, 'holder': self._role.holder},
         )
 
-    def _maybe_renew(self, now: timedelta) -> None:
-        # A side that starts after the older records have expired would not
-        # know the coordinator and the map wanted.
+    def _maybe_renew_records(self, now: timedelta) -> None:
+        # A side that starts after the older records have expired would
+        # otherwise know neither the coordinator nor the target map.
         if now < self._next_renewal:
             return
         self._next_renewal = now + RENEW_INTERVAL
         role = self._role
         records = [Held(role.holder, role.epoch), role.target]
-        frames = [GROUP_CODEC.encode(each) for each in records if each]
+        frames = [GROUP_CODEC.encode(record) for record in records if record]
         self._log.append(stream_of_group(self._group.name), frames)
 
-    def _go_on(self, status: RankStatus, now: timedelta) -> tuple[Send, ...]:
+    def _continue_attempt(
+        self, status: RankStatus, now: timedelta
+    ) -> tuple[Send, ...]:
         coordination = self._coordination
         if coordination is None:
             return ()
@@ -197,7 +204,7 @@
             )
             self._coordination = None
             return ()
-        if now - self._begun > _ATTEMPT_TIMEOUT:
+        if now - self._attempt_started > _ATTEMPT_TIMEOUT:
             logger.warning('attempt given up: {}', coordination.attempt)
             self._coordination = None
             return ()
@@ -209,7 +216,7 @@
         group = self._group
         target = self._role.target
         if status.map_id is None and target is not None:
-            return self._begin(target.map_id)
+            return self._start_attempt(target.map_id)
         if target is None or status.map_id is None:
             first = even_map(
                 len(group.ranks),
@@ -219,7 +226,7 @@
             )
             return self._publish(first)
         if status.map_id != target.map_id:
-            return self._begin(target.map_id)
+            return self._start_attempt(target.map_id)
         if not counts:
             return ()
         self._estimate = take_counts(
@@ -250,8 +257,8 @@
         )
 
     def _publish(self, expert_map: ExpertMap) -> tuple[Send, ...]:
-        # The map goes to the log before anybody uses it: a rank that is
-        # replaced later reads there what the others have loaded.
+        # The map is written to the log before any rank uses it: a rank that is
+        # replaced later reads there which experts the others have loaded.
         number = self._next_number()
         epoch = self._role.epoch
         map_id = f'{epoch}-{number}'
@@ -263,23 +270,23 @@
         self._read_role()
         if self._role.target != target:
             return ()
-        return self._begin(map_id)
+        return self._start_attempt(map_id)
 
-    def _begin(self, map_id: str) -> tuple[Send, ...]:
+    def _start_attempt(self, map_id: str) -> tuple[Send, ...]:
         attempt = Attempt(self._role.epoch, self._next_number(), self._rank)
         size = len(self._group.ranks)
         self._coordination = Coordination(attempt, map_id, size, LEAD_STEPS)
-        self._begun = self._clock.elapsed()
+        self._attempt_started = self._clock.elapsed()
         return begin(self._coordination)
 
-    def _signs_of_life(
+    def _heartbeats(
         self, status: RankStatus, now: timedelta
     ) -> tuple[Send, ...]:
-        # Tells the other sides that the coordinator lives, without any
-        # record in the log: preparing the map in use changes nothing.
-        if now < self._next_sign or status.map_id is None:
+        # Shows the other sides that the coordinator is alive without a record
+        # in the log: preparing the map that is already in use changes nothing.
+        if now < self._next_heartbeat or status.map_id is None:
             return ()
-        self._next_sign = now + SIGN_INTERVAL
+        self._next_heartbeat = now + HEARTBEAT_INTERVAL
         attempt = Attempt(self._role.epoch, 0, self._rank)
         note = Prepare(attempt, status.map_id)
         return tuple(
@@ -289,8 +296,8 @@
         )
 
     def _next_number(self) -> int:
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
     def _log_plan(self, plan: Plan) -> None:
         log_decision(
--- a/linnetwind/shares.py
+++ b/linnetwind/shares.py
@@ -1,9 +1,10 @@
-"""Dividing a customer's limits among entry daemons by their demand.
+"""Divide a customer's limits among the entry daemons by demand.
 
-Each customer has a home among the side daemons, found by hash; entry
-daemons tell it their demand once a second and get their part of the limit.
-The home keeps nothing that matters: a new one knows all demands within a
-second. An entry daemon that hears nothing keeps its last part.
+One of the side daemons, found by hash, divides the limits of each customer: its
+owner. Entry daemons send it their demand once a second and receive their
+fraction of the limit in reply. The owner keeps no state that must survive: a
+new owner knows all demands within a second. An entry daemon that gets no reply
+keeps its last fraction.
 """
 
 from collections.abc import Sequence
@@ -14,70 +15,80 @@
 from linnetwind.clock import Clock
 from linnetwind.messages import CustomerShare, Demand, Shares
 
-# Demand older than this is of an entry daemon that has gone.
+# The demand of an entry daemon that has not sent any for this long is
+# discarded, since the daemon has stopped.
 FORGET_AFTER = timedelta(seconds=5)
 
-# This part of the limit is held by all alike, so that a daemon at which a
-# customer turns up for the first time can serve it before it is told more.
-_EVEN_PART = 0.1
+# This fraction of the limit is divided evenly, so that an entry daemon that
+# sees a customer for the first time can serve it before the owner has replied.
+_EVEN_FRACTION = 0.1
 
 
 class ShareHome:
-    """The demands known at one home."""
+    """Allocates limits from the demands that one owner knows."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start knowing none.
+        """Start without any demand.
 
         Args:
-          clock: For the age of demands.
+          clock: The clock that gives the age of demands.
         """
         self._clock = clock
-        self._entries: dict[str, timedelta] = {}
-        self._demands: dict[str, dict[str, float]] = {}
+        self._last_seen: dict[str, timedelta] = {}
+        self._demand_by_customer: dict[str, dict[str, float]] = {}
 
     def take(self, demand: Demand) -> Shares:
-        """Take an entry daemon's demand.
+        """Apply the demand of an entry daemon.
 
         Args:
-          demand: What its customers asked for.
+          demand: The demand of its customers in the last interval.
 
         Returns:
-          Its part of each of these customers' limits.
+          The entry daemon's fraction of the limits of each of these customers.
         """
-        self._entries[demand.entry] = self._clock.elapsed()
-        self._forget_old()
+        self._last_seen[demand.entry] = self._clock.elapsed()
+        self._expire_demands()
         shares = []
-        for each in demand.demands:
-            wanted = self._demands.setdefault(each.customer, {})
-            wanted[demand.entry] = each.tokens + each.requests
-            fraction = self._fraction(wanted, demand.entry)
-            shares.append(CustomerShare(each.customer, fraction))
+        for customer_demand in demand.demands:
+            demand_by_entry = self._demand_by_customer.setdefault(
+                customer_demand.customer, {}
+            )
+            demand_by_entry[demand.entry] = (
+                customer_demand.tokens + customer_demand.requests
+            )
+            fraction = self._fraction(demand_by_entry, demand.entry)
+            shares.append(CustomerShare(customer_demand.customer, fraction))
         return Shares(tuple(shares))
 
-    def _fraction(self, wanted: dict[str, float], entry: str) -> float:
-        total = sum(wanted.values()) or 1
-        by_demand = wanted[entry] / total
-        even = 1 / len(self._entries)
-        return _EVEN_PART * even + (1 - _EVEN_PART) * by_demand
+    def _fraction(self, demand_by_entry: dict[str, float], entry: str) -> float:
+        total = sum(demand_by_entry.values()) or 1
+        by_demand = demand_by_entry[entry] / total
+        even = 1 / len(self._last_seen)
+        return _EVEN_FRACTION * even + (1 - _EVEN_FRACTION) * by_demand
 
-    def _forget_old(self) -> None:
+    def _expire_demands(self) -> None:
         oldest = self._clock.elapsed() - FORGET_AFTER
-        gone = [name for name, at in self._entries.items() if at < oldest]
-        for name in gone:
-            self._entries.pop(name)
-            for wanted in self._demands.values():
-                wanted.pop(name, None)
+        expired = [
+            entry
+            for entry, seen_at in self._last_seen.items()
+            if seen_at < oldest
+        ]
+        for entry in expired:
+            self._last_seen.pop(entry)
+            for demand_by_entry in self._demand_by_customer.values():
+                demand_by_entry.pop(entry, None)
 
 
 def home_of(customer: str, sides: Sequence[str]) -> str | None:
-    """Return the side that divides a customer's limits.
+    """Return the side daemon that divides a customer's limits.
 
     Args:
       customer: The customer's name.
-      sides: The sides that are connected.
+      sides: The names of the connected side daemons.
 
     Returns:
-      The same side for all entry daemons that see the same sides.
+      The owner, the same for all entry daemons that are connected to the same
+      sides; None without any side.
     """
     if not sides:
         return None
