--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -1,7 +1,7 @@
 """Plan and roll out the expert maps of rank groups while this daemon leads.
 
-All decisions are made in `rollout`, `map_wish` and `expert_demand`; this module
-is the loop around them.
+All decisions are made in `rollout`, `map_wish` and `expert_demand`; this
+module is the loop around them.
 """
 
 import random
--- a/linnetwind/map_planner_test.py
+++ b/linnetwind/map_planner_test.py
@@ -60,7 +60,7 @@
     experts: RankExperts
     orders: list = field(default_factory=list)
     restarts_at: type | None = None
-    looks: Counter = field(default_factory=Counter)
+    queries: Counter = field(default_factory=Counter)
 
 
 class Link:
@@ -71,13 +71,13 @@
         self._address = address
         self.closed = False
 
-    def look(self, wanted):
+    def look(self, query):
         rank = self._ranks.get(self._address.port)
         if rank is None:
             return Seen(None)
-        rank.looks['experts'] += wanted.with_experts
-        experts = rank.experts if wanted.with_experts else None
-        counts = rank.counts if wanted.with_counts else None
+        rank.queries['experts'] += query.with_experts
+        experts = rank.experts if query.with_experts else None
+        counts = rank.counts if query.with_counts else None
         return Seen(rank.report, counts, experts)
 
     def command(self, order):
@@ -162,7 +162,7 @@
         lanes = join_counts(counts)
         rank.counts = replace(rank.counts, step=step, lanes=lanes)
 
-    def look(self):
+    def poll(self):
         """Poll once, with counts."""
         for service in self.planner._services.values():
             service.counted_at = timedelta()
@@ -184,11 +184,11 @@
     # A worker crashes and restarts under its name at another address. The
     # planner kept polling the old address: it saw one rank less than the group
     # has, and planned no more maps.
-    bed.look()
+    bed.poll()
     bed.ranks.pop(82)
     bed.start(1, 92, born_ms=2, epoch=2)
     bed.ranks[81].report = replace(bed.ranks[81].report, epoch=2)
-    group = bed.look()
+    group = bed.poll()
     assert sorted(group.reports) == [0, 1]
     assert [link.closed for _to, link in bed.links] == [False, True, False]
 
@@ -197,27 +197,27 @@
     # The rank restarts, and for a moment its epoch and map version look as
     # before. A plan made from the experts of the previous incarnation names
     # copies that no longer exist.
-    bed.look()
-    group = bed.look()
+    bed.poll()
+    group = bed.poll()
     assert group.maps == (((0, 1), (2, 3)),)
     bed.start(1, 82, born_ms=2, epoch=1)
     bed.ranks[82].experts = replace(bed.ranks[82].experts, experts=((3,),))
-    bed.look()
-    group = bed.look()
+    bed.poll()
+    group = bed.poll()
     assert group.maps == (((0, 1), (3,)),)
 
 
 def test_a_target_map_is_dropped_when_a_rank_restarts(bed):
-    bed.look()
+    bed.poll()
     bed.count(81, 5, 0, 0, 0, 0)
     bed.count(81, 6, 9_000, 0, 0, 0)
     bed.count(82, 6, 0, 0, 0, 0)
-    group = bed.look()
+    group = bed.poll()
     assert group.wish is not None
     assert any(isinstance(each, PrepareMap) for each in bed.ranks[81].orders)
     target_version = group.wish.version
     bed.start(1, 82, born_ms=2, step=6)
-    group = bed.look()
+    group = bed.poll()
     assert group.wish is None or group.wish.version != target_version
 
 
@@ -226,21 +226,21 @@
     # difference, added to the counts of the other ranks, cancelled part of what
     # those had counted.
     bed.count(82, 5, 5_000, 0, 0, 0)
-    bed.look()
+    bed.poll()
     bed.start(1, 82, born_ms=2, step=7)
     bed.count(81, 7, 900, 0, 0, 0)
-    group = bed.look()
+    group = bed.poll()
     assert group.demand.recent[0] == pytest.approx(900)
 
 
 def test_counts_and_report_of_two_incarnations_are_not_mixed(bed):
     # The agent reads the counts, then the rank restarts, then the agent reads
     # the report.
-    bed.look()
+    bed.poll()
     bed.ranks[82].report = replace(bed.ranks[82].report, born_ms=2)
     bed.count(81, 6, 1_000, 0, 0, 0)
     bed.count(82, 6, 7_000, 0, 0, 0)
-    group = bed.look()
+    group = bed.poll()
     assert group.demand.recent[0] == pytest.approx(1_000)
 
 
@@ -249,7 +249,7 @@
     # report comes from the next one.
     report = replace(bed.ranks[82].report, pace=3.0, born_ms=2)
     bed.ranks[82].report = report
-    bed.look()
+    bed.poll()
     assert bed.mesh.summaries[0].slow == ('r1#2',)
 
 
@@ -263,15 +263,15 @@
         bed.start(rank, 81 + rank, born_ms=None)
         bed.register(make_upstream(f'a{rank}', 81 + rank, 'model'))
     bed.read_by_key()
-    bed.look()
-    group = bed.look()
+    bed.poll()
+    group = bed.poll()
     assert [group.ranks[rank].life for rank in range(2)] == ['a0', 'a1']
     maps = group.maps
     assert maps is not None
-    for gone in ('r0', 'r1'):
-        bed.drop(gone)
-        bed.look()
-        assert bed.look().maps is maps
+    for dropped in ('r0', 'r1'):
+        bed.drop(dropped)
+        bed.poll()
+        assert bed.poll().maps is maps
 
 
 def test_the_entry_of_the_replying_incarnation_is_used(bed):
@@ -279,10 +279,10 @@
     # incarnation stays for three heartbeats; both entries lead to the same
     # process.
     bed.register(make_upstream('z1', 82, 'model', born_ms=9))
-    group = bed.look()
+    group = bed.poll()
     assert group.ranks[1].upstream.instance == 'r1'
     bed.ranks[82].report = replace(bed.ranks[82].report, born_ms=9)
-    group = bed.look()
+    group = bed.poll()
     assert group.ranks[1].upstream.instance == 'z1'
 
 
@@ -291,14 +291,14 @@
     # report of its next incarnation. When that report was attributed to the
     # previous incarnation, the target map stayed, although it was planned from
     # a map that the new incarnation does not hold.
-    bed.look()
+    bed.poll()
     bed.count(81, 6, 9_000, 0, 0, 0)
-    target_version = bed.look().wish.version
+    target_version = bed.poll().wish.version
     for rank in bed.ranks.values():
         rank.report = replace(rank.report, prepared=target_version)
         rank.orders.clear()
     bed.ranks[81].restarts_at = HoldPass
-    group = bed.look()
+    group = bed.poll()
     assert [type(each) for each in bed.ranks[81].orders] == [HoldPass]
     assert (group.wish, group.maps) == (None, None)
     assert group.ranks[0].life == 'r0#2'
@@ -312,17 +312,17 @@
     # alternated twice a second for 15 s and more. The group kept its map, with
     # a skew of 1.74, until one of the planners was gone.
     monkeypatch.setattr(random, 'random', lambda: 1.0)
-    bed.look()
+    bed.poll()
     bed.count(81, 6, 9_000, 0, 0, 0)
     bed.count(82, 6, 0, 0, 0, 0)
-    wish = bed.look().wish
+    wish = bed.poll().wish
     assert wish is not None
     for rank in bed.ranks.values():
         rank.orders.clear()
         rank.report = replace(rank.report, prepared=wish.version + 1)
     for step in range(7, 12):
         bed.count(81, step, 9_000 * step, 0, 0, 0)
-        bed.look()
+        bed.poll()
     assert [each.orders for each in bed.ranks.values()] == [[], []]
 
 
@@ -335,15 +335,15 @@
         bed.start(rank, 83 + rank, born_ms=1, group='h')
         bed.register(make_upstream(f'r{rank}', 81 + rank, 'model', born_ms=1))
         bed.register(make_upstream(f's{rank}', 83 + rank, 'model', born_ms=1))
-    bed.look()
+    bed.poll()
     for port in bed.ranks:
         bed.count(port, 5, 0, 0, 0, 0)
-    bed.look()
+    bed.poll()
     for port in (81, 83):
         bed.count(port, 6, 9_000, 0, 0, 0)
     for port in (82, 84):
         bed.count(port, 6, 0, 0, 0, 0)
-    bed.look()
+    bed.poll()
     prepared = {
         port
         for port, rank in bed.ranks.items()
@@ -358,11 +358,11 @@
     # other daemon reaches a rank either. Each time it opened all links again
     # and counted from 0, and the first map after the power loss came seconds
     # late.
-    bed.look()
-    group = bed.look()
+    bed.poll()
+    group = bed.poll()
     opened = len(bed.links)
     bed.mesh.leading = False
     bed.planner.run_once()
     bed.mesh.leading = True
-    assert bed.look() is group
+    assert bed.poll() is group
     assert len(bed.links) == opened
--- a/linnetwind/map_wish_test.py
+++ b/linnetwind/map_wish_test.py
@@ -31,7 +31,7 @@
     rng = random.Random(seed)
     layers = []
     for _layer in range(ENGINE.layers):
-        weights = [1000 / (place + 1) ** 1.1 for place in range(64)]
+        weights = [1000 / (position + 1) ** 1.1 for position in range(64)]
         rng.shuffle(weights)
         layers.append(tuple(weights))
     return tuple(layers)
--- a/linnetwind/placement_level_test.py
+++ b/linnetwind/placement_level_test.py
@@ -12,7 +12,7 @@
 
 def _tokens(seed, experts, power):
     rng = random.Random(seed)
-    weights = [1000 / (place + 1) ** power for place in range(experts)]
+    weights = [1000 / (position + 1) ** power for position in range(experts)]
     rng.shuffle(weights)
     return (*weights, 0.0)
 
--- a/linnetwind/placement_levels_test.py
+++ b/linnetwind/placement_levels_test.py
@@ -27,7 +27,9 @@
     rng = random.Random(seed)
     tokens = []
     for _layer in range(layers):
-        weights = [1000 / (place + 1) ** power for place in range(experts)]
+        weights = [
+            1000 / (position + 1) ** power for position in range(experts)
+        ]
         rng.shuffle(weights)
         tokens.append((*weights, 0.0))
     return GroupLoad(tuple(tokens), (1.0,) * ranks)
--- a/linnetwind/rollout_test.py
+++ b/linnetwind/rollout_test.py
@@ -112,7 +112,7 @@
     return Round('arming', tuple(orders))
 
 
-def _disarm_unsafely(reports, wish):
+def _disarm_unsafely(reports, target):
     """Disarm ranks when arming seems stuck, and release the held pass."""
     if not reports:
         return Round('idle')
@@ -127,7 +127,7 @@
         ]
         release = RankCommand(0, ReleasePass(held, reports[0].epoch))
         return Round('disarming', (*orders, release))
-    return next_round(reports, wish)
+    return next_round(reports, target)
 
 
 @pytest.mark.parametrize(
