--- a/linnetwind/group_planner.py
+++ b/linnetwind/group_planner.py
@@ -40,8 +40,9 @@
 from linnetwind.placement import even_map, plan_moves
 from linnetwind.placement_types import ExpertMap, PlacementPrices, Plan
 
-# A side takes the role if it has not heard of the coordinator for this long,
-# plus the time per rank, so that sides of higher ranks wait longer.
+# A side takes the role if it has not heard of the coordinator for this long
+# plus the time per rank, so that sides of higher ranks wait longer. A group
+# that has no coordinator yet waits only the time per rank.
 SILENCE = timedelta(seconds=5)
 TIMEOUT_PER_RANK = timedelta(seconds=1)
 HEARTBEAT_INTERVAL = timedelta(seconds=2)
@@ -53,7 +54,7 @@
 # switch to a new map.
 LEAD_STEPS = 100
 
-# The share of the weight store's rate that one group may assume.
+# The share of the weight store's rate that one group counts on.
 STORE_BYTES_PER_SECOND = 1_000_000_000
 
 _ROLE_CHECK_INTERVAL = timedelta(seconds=1)
--- a/linnetwind/placement_types.py
+++ b/linnetwind/placement_types.py
@@ -37,8 +37,8 @@
     """How many experts that a rank does not hold one plan may copy to it.
 
     `per_rank` bounds the time that the copies take; `per_layer` is the number
-    that the engine accepts in one order. `blank` is the expert number that
-    stands for an empty slot, which needs no copy.
+    that the engine accepts at once in a layer. `blank` is the expert number
+    that stands for an empty slot, which needs no copy.
     """
 
     per_rank: int
--- a/linnetwind/rollout.py
+++ b/linnetwind/rollout.py
@@ -82,7 +82,7 @@
 
 
 def is_whole(reports: Reports) -> bool:
-    """Return whether every rank of an open group reports the same epoch.
+    """Return whether all ranks of one open group report the same epoch.
 
     Args:
       reports: The reports by rank.
@@ -175,7 +175,7 @@
         for rank, report in reports.items()
         if report.armed is not None and report.armed < newest
     ]
-    if superseded and _has_moved_on(reports, newest):
+    if superseded and _has_rank_moved_on(reports, newest):
         return Round('disarming', tuple(superseded))
     in_use = {report.map_version for report in reports.values()}
     if target is None or _is_stale(reports, target) or target.version in in_use:
@@ -199,7 +199,7 @@
     )
 
 
-def _has_moved_on(reports: Reports, newest: int) -> bool:
+def _has_rank_moved_on(reports: Reports, newest: int) -> bool:
     """Return whether a rank can no longer be armed with an older version.
 
     That is a rank that has the newest version prepared and is not armed.
