--- a/linnetwind/crash_book.py
+++ b/linnetwind/crash_book.py
@@ -1,11 +1,12 @@
-"""Which requests crash upstreams, and are not sent on for that.
-
-A request that crashes each upstream which begins it comes again through any
-gateway, and in a rank group each crash cuts the streams of all callers. The
-gateways therefore tell each other of each crash under a request, and none of
-them sends a request on under which two upstreams have crashed. After the crash
-of a rank, each request that ran there is a suspect: sent on, the one that is
-guilty breaks the group once more, for seconds and for everybody.
+"""History of the crashes under each request, which decides on quarantines.
+
+A request that crashes every upstream that starts it is retried by its caller
+and arrives through any gateway. In a rank group each such crash cuts the
+streams of all callers. The gateways therefore advertise every crash under a
+request to each other, and no gateway forwards a request under which two
+upstreams have crashed. After the crash of a rank, every request that ran on it
+is a suspect and is refused for a short time: forwarding the one that caused the
+crash would break the group again, for seconds and for all callers.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,46 +18,50 @@
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.lives import LifeTag
 
-# One crash may have any cause, and its requests have to be served elsewhere.
-# Hardly a request meets two in a row by chance: it would have to go from the
-# upstream that crashes to the next one that does.
+# A single crash may have any cause, and the requests that ran on the upstream
+# must be served elsewhere. It is unlikely that a request meets two crashes in a
+# row by chance: it would have to go from one crashing upstream to the next.
 _CRASHES_TO_QUARANTINE = 2
-# Processes that are ended together, by one signal to all of them, are seen to
-# end within this time. Crashes so close together may have one cause outside of
-# the request, unless it went from one upstream to the next. Copies of a request
-# that waited for a broken group begin together as well, but not so close.
-_ONE_CAUSE_MS = 20
-_ONE_CAUSE = timedelta(milliseconds=_ONE_CAUSE_MS)
-# After a quarantine the request may be tried once; a new version of the
-# upstreams may bear it. Each further crash doubles the time.
-_FIRST_QUARANTINE_MIN = 10
-FIRST_QUARANTINE = timedelta(minutes=_FIRST_QUARANTINE_MIN)
-LONGEST_QUARANTINE = timedelta(days=1)
-# How long a suspect is not sent on. Each crash of a rank has a few, of which at
-# most one is guilty; the others are refused so long if their callers ask again.
-_SUSPICION_MIN = 1
-SUSPICION = timedelta(minutes=_SUSPICION_MIN)
-# Crashes of more than two upstreams within this time have a cause outside of
-# requests; two may have had copies of one request.
-_ONE_EVENT = timedelta(seconds=1)
-_MOST_BY_REQUEST = 2
-# More doublings than lead to the longest quarantine.
-_MOST_DOUBLINGS = 8
-# A crash is told for this long to peers that hear some states only.
-_TOLD = timedelta(seconds=2)
-# States of a slow peer still repeat an answer so long after the first.
-_LONGEST_TOLD = 2 * _TOLD
-# Requests that are remembered, and those of them that states carry.
-MOST_KEPT = 512
-MOST_TOLD = 32
+# Processes that are killed together by one signal are seen to end within this
+# time. Crashes this close together may share a cause outside of the request,
+# unless the request went from one upstream to the next. Copies of a request
+# that waited for a broken group also start together, but further apart.
+_COMMON_CAUSE_WINDOW_MS = 20
+_COMMON_CAUSE_WINDOW = timedelta(milliseconds=_COMMON_CAUSE_WINDOW_MS)
+# After its quarantine a request may be tried once, since a new version of the
+# upstreams may be able to serve it. Each further crash doubles the quarantine.
+_FIRST_QUARANTINE_MINUTES = 10
+FIRST_QUARANTINE = timedelta(minutes=_FIRST_QUARANTINE_MINUTES)
+MAX_QUARANTINE = timedelta(days=1)
+# How long a suspect is refused. The crash of a rank leaves several suspects, of
+# which at most one caused it; the retries of the others are refused as well.
+_SUSPICION_MINUTES = 1
+SUSPICION = timedelta(minutes=_SUSPICION_MINUTES)
+# If more than two upstreams crash within this time, the cause lies outside of
+# the requests; two of them may have run copies of one request.
+_MASS_CRASH_WINDOW = timedelta(seconds=1)
+_MAX_CRASHES_BY_REQUEST = 2
+# Enough doublings to reach `MAX_QUARANTINE`; bounds the exponent.
+_MAX_DOUBLINGS = 8
+# How long a crash or an answer is advertised. Peers may miss some of this
+# daemon's state messages.
+_ADVERTISING_TIME = timedelta(seconds=2)
+# The state messages of a slow peer may still repeat an answer this long after
+# its first advertisement.
+_REPEAT_WINDOW = 2 * _ADVERTISING_TIME
+# The number of requests that are remembered, and of those that a state message
+# carries.
+MAX_KNOWN_REQUESTS = 512
+MAX_ADVERTISED_REQUESTS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A crash under a request, at monotonic times.
+    """A crash of an upstream while it ran a request.
 
-    `life` is that of the upstream, which was given the request at `began`.
-    `of_group` says that the upstream was a rank and its whole group broke.
+    `life` is the incarnation of the upstream. The request was sent to it at
+    `began`, and its crash was detected at `ended`; both are monotonic times.
+    `of_group` tells whether the upstream was a rank whose whole group broke.
     """
 
     life: LifeTag
@@ -67,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ToldCrash:
-    """A `Crash` as daemons tell it: with ages, since clocks differ."""
+    """A `Crash` in messages to peers.
+
+    It holds ages in milliseconds instead of times, since clocks differ.
+    """
 
     fingerprint: Fingerprint
     life: LifeTag
@@ -77,118 +85,138 @@
 
 
 @dataclass(frozen=True)
-class CrashBook:
-    """Crashes by request, and when requests were answered after a crash.
+class CrashHistory:
+    """The crashes by request, and the times of successful answers.
 
-    `answered` are those that were answered here, `told` those of peers, which
-    are not told on.
+    `answered` holds the monotonic time at which an upstream last answered a
+    request through this daemon, `answered_by_peers` the time at which a peer
+    advertised such an answer. Answers of peers are not advertised again.
     """
 
     crashes: Mapping[Fingerprint, tuple[Crash, ...]] = field(
         default_factory=dict
     )
     answered: Mapping[Fingerprint, timedelta] = field(default_factory=dict)
-    told: Mapping[Fingerprint, timedelta] = field(default_factory=dict)
+    answered_by_peers: Mapping[Fingerprint, timedelta] = field(
+        default_factory=dict
+    )
 
     def note(self, request: Fingerprint, crash: Crash, now: timedelta) -> Self:
-        """Return the book after a crash under a request.
+        """Add a crash under a request.
 
         Args:
-          request: The request.
-          crash: The crash; nothing changes if it is known, or if the request
-            was answered after it began.
+          request: The request's fingerprint.
+          crash: The crash. It is ignored if a crash of the same incarnation is
+            known, or if the request was answered after it was sent there.
           now: The monotonic time.
 
         Returns:
-          The book.
+          The updated history.
         """
         known = self.crashes.get(request, ())
-        if any(each.life == crash.life for each in known):
+        if any(other.life == crash.life for other in known):
             return self
-        if crash.began <= self._answered_at(request):
+        if crash.began <= self._last_answer_at(request):
             return self
         crashes = {
-            **_kept(self.crashes, now),
-            request: tuple(sorted((*known, crash), key=_when)),
+            **_unexpired_crashes(self.crashes, now),
+            request: tuple(sorted((*known, crash), key=_end_of)),
         }
-        return replace(self, crashes=_bounded(crashes))
+        return replace(self, crashes=_limit_size(crashes))
 
-    def answer(self, request: Fingerprint, now: timedelta) -> Self:
-        """Return the book after an upstream here answered a request whole.
+    def record_answer(self, request: Fingerprint, now: timedelta) -> Self:
+        """Clear a request that an upstream answered completely.
 
-        A popular request is in flight whenever some upstream crashes for
-        another reason. One that was answered whole crashes nothing, and would
-        be refused to all its callers.
+        A popular request is in flight whenever an upstream crashes for another
+        reason. If its crashes were kept after a complete answer, a harmless
+        request would be refused to all its callers.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
           now: The monotonic time.
 
         Returns:
-          The book.
+          The updated history.
         """
-        answered = {**_recent(self.answered, now), request: now}
-        return replace(self._without(request), answered=answered)
+        answered = {**_unexpired_answers(self.answered, now), request: now}
+        return replace(self._without_crashes(request), answered=answered)
 
-    def hear_answer(self, request: Fingerprint, now: timedelta) -> Self:
-        """Return the book after a peer told that a request was answered.
+    def merge_peer_answer(self, request: Fingerprint, now: timedelta) -> Self:
+        """Clear a request for which a peer advertises a complete answer.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
           now: The monotonic time.
 
         Returns:
-          The book; unchanged by the repeats of what was told.
+          The updated history. Repeats of the same advertisement change
+          nothing, so that they don't clear crashes that came after it.
         """
-        if now - self.told.get(request, -_LONGEST_TOLD) < _LONGEST_TOLD:
+        if (
+            now - self.answered_by_peers.get(request, -_REPEAT_WINDOW)
+            < _REPEAT_WINDOW
+        ):
             return self
-        told = {**_recent(self.told, now), request: now}
-        return replace(self._without(request), told=told)
+        answered_by_peers = {
+            **_unexpired_answers(self.answered_by_peers, now),
+            request: now,
+        }
+        return replace(
+            self._without_crashes(request), answered_by_peers=answered_by_peers
+        )
 
     def quarantined_until(self, request: Fingerprint) -> timedelta:
         """Return until when a request must not be sent to any upstream.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
 
         Returns:
-          The monotonic time; zero if it may be sent.
+          The monotonic time at which its quarantine or suspicion ends; zero if
+          it has neither.
         """
         known = self.crashes.get(request, ())
         if self.is_proven(request):
-            return known[-1].ended + _quarantine(known)
-        if known and known[-1].of_group and not self._is_one_of_many(known[-1]):
+            return known[-1].ended + _quarantine_length(known)
+        if (
+            known
+            and known[-1].of_group
+            and not self._is_part_of_mass_crash(known[-1])
+        ):
             return known[-1].ended + SUSPICION
         return timedelta()
 
     def is_proven(self, request: Fingerprint) -> bool:
-        """Return whether so many upstreams crashed that it was the request.
+        """Return whether a request is taken for the cause of its crashes.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
 
         Returns:
-          Whether it is more than a suspect.
+          Whether two upstreams crashed under it independently, so that it is
+          more than a suspect.
         """
         known = self.crashes.get(request, ())
-        return _count_in_sequence(known) >= _CRASHES_TO_QUARANTINE
+        return _count_independent(known) >= _CRASHES_TO_QUARANTINE
 
-    def forget(self, now: timedelta) -> Self:
-        """Return the book without requests whose time is over.
+    def discard_expired(self, now: timedelta) -> Self:
+        """Drop the requests whose quarantine ended long ago.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          The book.
+          The updated history.
         """
-        return replace(self, crashes=_kept(self.crashes, now))
+        return replace(self, crashes=_unexpired_crashes(self.crashes, now))
 
-    def to_tell(self, now: timedelta) -> dict[Fingerprint, tuple[Crash, ...]]:
-        """Return the crashes that peers have to hear of.
+    def crashes_to_advertise(
+        self, now: timedelta
+    ) -> dict[Fingerprint, tuple[Crash, ...]]:
+        """Return the crashes that peers need to learn of.
 
-        Those under requests in quarantine are told again and again, for
-        daemons that start; others when they are new.
+        Crashes under requests in quarantine are advertised as long as it lasts,
+        for daemons that start meanwhile; other crashes only while they are new.
 
         Args:
           now: The monotonic time.
@@ -196,103 +224,115 @@
         Returns:
           The crashes by request.
         """
-        told = {
+        advertised = {
             request: known
             for request, known in self.crashes.items()
-            if now - known[-1].ended < _TOLD
+            if now - known[-1].ended < _ADVERTISING_TIME
             or now < self.quarantined_until(request)
         }
-        return dict(list(told.items())[-MOST_TOLD:])
+        return dict(list(advertised.items())[-MAX_ADVERTISED_REQUESTS:])
 
-    def answers_to_tell(self, now: timedelta) -> tuple[Fingerprint, ...]:
-        """Return the requests of which peers have to hear that they are safe.
+    def answers_to_advertise(self, now: timedelta) -> tuple[Fingerprint, ...]:
+        """Return the answered requests that peers need to learn of.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          Requests that were answered lately after a crash.
+          The requests that were answered here a short time ago after a crash.
         """
         newest = [
-            request for request, at in self.answered.items() if now - at < _TOLD
+            request
+            for request, at in self.answered.items()
+            if now - at < _ADVERTISING_TIME
         ]
-        return tuple(newest[-MOST_TOLD:])
+        return tuple(newest[-MAX_ADVERTISED_REQUESTS:])
 
-    def _is_one_of_many(self, crash: Crash) -> bool:
-        """Return whether hosts died, not a rank under a request."""
-        lives = {
-            each.life
+    def _is_part_of_mass_crash(self, crash: Crash) -> bool:
+        """Return whether too many upstreams crashed at once for one request.
+
+        Whole hosts have failed then.
+        """
+        incarnations = {
+            other.life
             for known in self.crashes.values()
-            for each in known
-            if abs(each.ended - crash.ended) < _ONE_EVENT
+            for other in known
+            if abs(other.ended - crash.ended) < _MASS_CRASH_WINDOW
         }
-        return len(lives) > _MOST_BY_REQUEST
+        return len(incarnations) > _MAX_CRASHES_BY_REQUEST
 
-    def _answered_at(self, request: Fingerprint) -> timedelta:
+    def _last_answer_at(self, request: Fingerprint) -> timedelta:
         return max(
-            book.get(request, timedelta.min)
-            for book in (self.answered, self.told)
+            answers.get(request, timedelta.min)
+            for answers in (self.answered, self.answered_by_peers)
         )
 
-    def _without(self, request: Fingerprint) -> Self:
+    def _without_crashes(self, request: Fingerprint) -> Self:
         crashes = {
-            each: known
-            for each, known in self.crashes.items()
-            if each != request
+            other: known
+            for other, known in self.crashes.items()
+            if other != request
         }
         return replace(self, crashes=crashes)
 
 
-def _count_in_sequence(crashes: Iterable[Crash]) -> int:
-    """Return how many crashes, in order of their ends, had causes of their own.
+def _count_independent(crashes: Iterable[Crash]) -> int:
+    """Count the crashes that don't share their cause with the one before.
+
+    When a rack loses power, copies of one request may be running on several of
+    its upstreams. That is a single event and is no evidence against the
+    request.
 
-    When a rack loses power, copies of one request may run at several of its
-    upstreams; that is one event and says nothing of the request.
+    Args:
+      crashes: The crashes, in the order of their ends.
     """
     count = 0
     last: Crash | None = None
-    for each in crashes:
-        if last is None or _follows(each, last):
+    for crash in crashes:
+        if last is None or _is_independent(crash, last):
             count += 1
-            last = each
+            last = crash
     return count
 
 
-def _follows(crash: Crash, before: Crash) -> bool:
-    apart = crash.ended - before.ended
-    return crash.began >= before.ended or apart >= _ONE_CAUSE
+def _is_independent(crash: Crash, previous: Crash) -> bool:
+    interval = crash.ended - previous.ended
+    return crash.began >= previous.ended or interval >= _COMMON_CAUSE_WINDOW
 
 
-def _quarantine(crashes: tuple[Crash, ...]) -> timedelta:
-    further = _count_in_sequence(crashes) - _CRASHES_TO_QUARANTINE
-    doublings = min(max(0, further), _MOST_DOUBLINGS)
-    return min(FIRST_QUARANTINE * 2**doublings, LONGEST_QUARANTINE)
+def _quarantine_length(crashes: tuple[Crash, ...]) -> timedelta:
+    further_crashes = _count_independent(crashes) - _CRASHES_TO_QUARANTINE
+    doublings = min(max(0, further_crashes), _MAX_DOUBLINGS)
+    return min(FIRST_QUARANTINE * 2**doublings, MAX_QUARANTINE)
 
 
-def _kept(
+def _unexpired_crashes(
     crashes: Mapping[Fingerprint, tuple[Crash, ...]], now: timedelta
 ) -> dict[Fingerprint, tuple[Crash, ...]]:
-    # Past its quarantine a request stays known for as long again, so that one
-    # more crash brings it back.
+    # A request stays known for as long again after its quarantine, so that a
+    # single further crash puts it back into quarantine.
     return {
         request: known
         for request, known in crashes.items()
-        if now - known[-1].ended < 2 * _quarantine(known)
+        if now - known[-1].ended < 2 * _quarantine_length(known)
     }
 
 
-def _bounded(
+def _limit_size(
     crashes: Mapping[Fingerprint, tuple[Crash, ...]],
 ) -> dict[Fingerprint, tuple[Crash, ...]]:
-    """Return the crashes without the oldest single ones beyond the limit."""
-    order = sorted(
+    """Drop requests beyond the limit: those with the fewest crashes first.
+
+    Among requests with the same number of crashes the oldest go first.
+    """
+    ordered = sorted(
         crashes.items(),
-        key=lambda each: (_count_in_sequence(each[1]), each[1][-1].ended),
+        key=lambda item: (_count_independent(item[1]), item[1][-1].ended),
     )
-    return dict(order[-MOST_KEPT:])
+    return dict(ordered[-MAX_KNOWN_REQUESTS:])
 
 
-def _recent(
+def _unexpired_answers(
     answered: Mapping[Fingerprint, timedelta], now: timedelta
 ) -> dict[Fingerprint, timedelta]:
     return {
@@ -302,5 +342,5 @@
     }
 
 
-def _when(crash: Crash) -> timedelta:
+def _end_of(crash: Crash) -> timedelta:
     return crash.ended
--- a/linnetwind/crash_guard.py
+++ b/linnetwind/crash_guard.py
@@ -1,10 +1,10 @@
-"""Keeps requests that crash upstreams from being sent on."""
+"""Detects crashes of upstreams and refuses the requests that cause them."""
 
 from datetime import timedelta
 
 from linnetwind.gateway_events import UpstreamCrashed
 from linnetwind.journey import Done, GatewayTools, Journey
-from linnetwind.rank_crashes import note_rank_crash
+from linnetwind.rank_crashes import record_rank_crash
 from linnetwind.upstream_call import CONNECT_TIMEOUT, Broken, NotReached
 from linnetwind.upstream_list import Upstream
 
@@ -21,10 +21,10 @@
       journey: The request.
 
     Returns:
-      The time that is left, None if it may be sent.
+      The remaining time, None if it may be sent.
     """
     crashes = tools.state.books.crashes
-    if not crashes.any_known:
+    if not crashes.has_crashes:
         return None
     return crashes.quarantine(journey.fingerprint)
 
@@ -36,22 +36,23 @@
     broken: Broken,
     began: timedelta,
 ) -> None:
-    """Find out whether an upstream crashed under a request, and remember it.
+    """Check whether an upstream crashed under a request and record the crash.
 
-    A connection that breaks says little: upstreams spoil answers, and when a
-    rank dies, all ranks of its group cut their streams. If each break counted,
-    two crashes of ranks would put all streams of a group in quarantine. One
-    that has crashed does not listen.
+    A broken connection alone is no evidence of a crash: upstreams also send
+    invalid responses, and when a rank crashes all ranks of its group cut their
+    streams. If every broken connection counted, two crashes of ranks would
+    quarantine all streams of a group. An upstream that has crashed no longer
+    listens, so a new connection to it tells the difference.
 
     Args:
       tools: What every request needs.
       journey: The request.
-      upstream: The upstream that had it.
-      broken: How the call ended.
+      upstream: The upstream that was running it.
+      broken: How the call failed.
       began: The monotonic time at which the request was sent there.
     """
-    # Not what is left of the caller's time: with a millisecond of it every
-    # upstream seems to have crashed.
+    # The probe has its own timeout. With the remaining time of the caller,
+    # which may be a millisecond, every upstream would seem to have crashed.
     probe = tools.open_call(
         upstream.address, None, tools.clock, CONNECT_TIMEOUT
     )
@@ -60,8 +61,8 @@
         return
     request = journey.fingerprint
     crashes = tools.state.books.crashes
-    of_group = note_rank_crash(tools.state, upstream, tools.clock.elapsed())
-    left = crashes.note(request, upstream.life, began, of_group=of_group)
+    of_group = record_rank_crash(tools.state, upstream, tools.clock.elapsed())
+    remaining = crashes.note(request, upstream.life, began, of_group=of_group)
     tools.tell_peers()
     if crashes.is_proven(request):
         tools.keep_quarantine(request)
@@ -73,7 +74,7 @@
             upstream.life,
             broken.problem,
             tools.clock.elapsed() - began,
-            left,
+            remaining,
         )
     )
 
@@ -81,13 +82,13 @@
 def note_whole_answer(
     tools: GatewayTools, journey: Journey, done: Done
 ) -> None:
-    """Take note of a request that an upstream has answered whole.
+    """Record that an upstream has answered a request completely.
 
     Args:
       tools: What every request needs.
       journey: The request.
-      done: How it ended.
+      done: How it ended; only a successful status is recorded.
     """
     success = _FIRST_SUCCESS <= done.status < _FIRST_REDIRECT
     if success:
-        tools.state.books.crashes.answer(journey.fingerprint)
+        tools.state.books.crashes.record_answer(journey.fingerprint)
--- a/linnetwind/crash_guard_test.py
+++ b/linnetwind/crash_guard_test.py
@@ -1,4 +1,4 @@
-"""Tests of looking whether an upstream that broke a call off has crashed."""
+"""Tests of the check whether an upstream with a broken call has crashed."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -15,22 +15,22 @@
 from standins.gateway_fixtures import MS, SECOND, make_upstream
 from standins.gateway_harness import ListLog
 
-# The way there and back between two data centres.
+# The network round trip between two data centres.
 ROUND_TRIP = 4 * MS
 BROKEN = Broken('the connection was closed')
 
 
 @pytest.mark.parametrize('time_left', [SECOND, MS, timedelta(), -SECOND])
 def test_an_upstream_that_listens_has_not_crashed(time_left):
-    # An upstream ends a call at the end of the caller's time. Asked with what
-    # was left of that, no upstream could answer: each seemed to have crashed,
-    # and two such tries put a request in quarantine that crashes nothing.
+    # An upstream ends a call when the caller's deadline passes. Probed with the
+    # remaining time of the caller, every upstream seemed to have crashed, and
+    # two such attempts put a harmless request into quarantine.
     clock, log = SystemClock(), ListLog()
     terms = BudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
 
-    def open_call(_address, _caller, _clock, most):
-        if most < ROUND_TRIP:
+    def open_call(_address, _caller, _clock, timeout):
+        if timeout < ROUND_TRIP:
             return NotReached('timed out')
         return SimpleNamespace(close=lambda: None)
 
@@ -49,4 +49,4 @@
     )
     note_if_crashed(tools, journey, make_upstream('a'), BROKEN, clock.elapsed())
     assert log.of(UpstreamCrashed) == []
-    assert not state.books.crashes.any_known
+    assert not state.books.crashes.has_crashes
--- a/linnetwind/crashes.py
+++ b/linnetwind/crashes.py
@@ -1,4 +1,4 @@
-"""A daemon's book of crashes under requests; for any thread."""
+"""A daemon's thread-safe record of the requests that crash upstreams."""
 
 import threading
 from collections.abc import Iterable
@@ -6,34 +6,36 @@
 
 from linnetwind.ages import age_of, moment_of
 from linnetwind.clock import Clock
-from linnetwind.crash_book import Crash, CrashBook, ToldCrash
+from linnetwind.crash_book import Crash, CrashHistory, ToldCrash
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.lives import Life, LifeTag, tag_life
 
-
-# Requests that were answered here and are remembered, so that those which many
-# callers send are no suspects when a rank crashes for another reason.
-_MOST_ANSWERED = 256
+# How many answered requests are remembered. A popular request that was answered
+# before is no suspect when a rank crashes for another reason.
+_MAX_ANSWERED = 256
 
 
 class Crashes:
-    """Knows the requests that must not be sent on."""
+    """Tracks crashes and decides which requests must not be forwarded.
+
+    All methods may be called from any thread.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with an empty book.
+        """Start with an empty history.
 
         Args:
-          clock: For ages and the ends of quarantines.
+          clock: Gives the times of crashes and the ends of quarantines.
         """
         self._clock = clock
         self._lock = threading.Lock()
-        self._book = CrashBook()
+        self._history = CrashHistory()
         self._answered: dict[Fingerprint, None] = {}
 
     @property
-    def any_known(self) -> bool:
-        """Return whether there is a request under which upstreams crashed."""
-        return bool(self._book.crashes)
+    def has_crashes(self) -> bool:
+        """Return whether a crash is known under any request."""
+        return bool(self._history.crashes)
 
     def note(
         self,
@@ -43,58 +45,61 @@
         *,
         of_group: bool = False,
     ) -> timedelta | None:
-        """Take note of an upstream that has just crashed under a request.
+        """Record that an upstream has just crashed under a request.
 
         Args:
-          request: The request.
-          life: The upstream's life.
+          request: The request's fingerprint.
+          life: The incarnation of the upstream.
           began: The monotonic time at which the request was sent there.
           of_group: Whether the upstream's whole group broke.
 
         Returns:
-          How long the request must not be sent on, None if it may be.
+          How long the request must not be forwarded, None if it may be.
         """
         now = self._clock.elapsed()
         with self._lock:
             suspect = of_group and request not in self._answered
             crash = Crash(tag_life(life), began, now, suspect)
-            self._book = self._book.note(request, crash, now)
+            self._history = self._history.note(request, crash, now)
         return self.quarantine(request)
 
-    def answer(self, request: Fingerprint) -> None:
-        """Take note that an upstream has answered a request whole.
+    def record_answer(self, request: Fingerprint) -> None:
+        """Record that an upstream has answered a request completely.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
         """
         with self._lock:
             self._answered.pop(request, None)
             self._answered[request] = None
-            if len(self._answered) > _MOST_ANSWERED:
+            if len(self._answered) > _MAX_ANSWERED:
                 self._answered.pop(next(iter(self._answered)))
-            if request in self._book.crashes:
-                self._book = self._book.answer(request, self._clock.elapsed())
+            if request in self._history.crashes:
+                self._history = self._history.record_answer(
+                    request, self._clock.elapsed()
+                )
 
     def restore(self, request: Fingerprint, lives: Iterable[LifeTag]) -> None:
-        """Take in a request that was in quarantine before this process began.
+        """Restore a request that was in quarantine before this process started.
 
-        Its quarantine starts anew: nobody knows how old it is, since clocks
-        of hosts differ and jump.
+        The quarantine restarts at its full length. Its age is unknown, since
+        the clocks of hosts differ and jump.
 
         Args:
-          request: The request.
-          lives: The upstreams that crashed under it, one after the other.
+          request: The request's fingerprint.
+          lives: The tags of the upstream incarnations that crashed under it, in
+            the order of their crashes.
         """
         now = self._clock.elapsed()
         with self._lock:
             for life in lives:
                 crash = Crash(life, now, now)
-                self._book = self._book.note(request, crash, now)
+                self._history = self._history.note(request, crash, now)
 
     def hear(
         self, crashes: Iterable[ToldCrash], answered: Iterable[Fingerprint]
     ) -> None:
-        """Take in what a peer tells.
+        """Merge what a peer advertises.
 
         Args:
           crashes: Crashes under requests.
@@ -103,81 +108,89 @@
         now = self._clock.elapsed()
         with self._lock:
             for request in answered:
-                self._book = self._book.hear_answer(request, now)
-            for each in crashes:
+                self._history = self._history.merge_peer_answer(request, now)
+            for advertised in crashes:
                 crash = Crash(
-                    each.life,
-                    moment_of(each.began_ms, now),
-                    moment_of(each.ended_ms, now),
-                    each.of_group,
+                    advertised.life,
+                    moment_of(advertised.began_ms, now),
+                    moment_of(advertised.ended_ms, now),
+                    advertised.of_group,
+                )
+                self._history = self._history.note(
+                    advertised.fingerprint, crash, now
                 )
-                self._book = self._book.note(each.fingerprint, crash, now)
 
     def tell(self) -> tuple[ToldCrash, ...]:
-        """Return the crashes that peers have to hear of."""
+        """Return the crashes that peers need to learn of."""
         now = self._clock.elapsed()
         return tuple(
             ToldCrash(
                 request,
-                each.life,
-                age_of(each.began, now),
-                age_of(each.ended, now),
-                each.of_group,
+                crash.life,
+                age_of(crash.began, now),
+                age_of(crash.ended, now),
+                crash.of_group,
             )
-            for request, known in self._book.to_tell(now).items()
-            for each in known
+            for request, known in self._history.crashes_to_advertise(
+                now
+            ).items()
+            for crash in known
         )
 
     def tell_answered(self) -> tuple[Fingerprint, ...]:
-        """Return the requests that were answered lately, for peers."""
-        return self._book.answers_to_tell(self._clock.elapsed())
+        """Return the answered requests that peers need to learn of."""
+        return self._history.answers_to_advertise(self._clock.elapsed())
 
     def quarantine(self, request: Fingerprint) -> timedelta | None:
         """Return how long a request must not be sent to any upstream.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
 
         Returns:
-          The time that is left, None if it may be sent.
+          The remaining time, None if it may be sent.
         """
         now = self._clock.elapsed()
-        left = self._book.quarantined_until(request) - now
-        return left if left > timedelta() else None
+        remaining = self._history.quarantined_until(request) - now
+        return remaining if remaining > timedelta() else None
 
     def is_proven(self, request: Fingerprint) -> bool:
-        """Return whether a request is more than a suspect.
+        """Return whether a request is taken for the cause of its crashes.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
 
         Returns:
-          Whether two upstreams have crashed under it.
+          Whether two upstreams crashed under it independently, so that it is
+          more than a suspect.
         """
-        return self._book.is_proven(request)
+        return self._history.is_proven(request)
 
     def quarantined(self) -> list[Fingerprint]:
-        """Return the proven requests that must not be sent on."""
+        """Return the proven requests whose quarantine has not ended."""
         now = self._clock.elapsed()
-        book = self._book
+        history = self._history
         return [
             request
-            for request in book.crashes
-            if book.is_proven(request) and book.quarantined_until(request) > now
+            for request in history.crashes
+            if history.is_proven(request)
+            and history.quarantined_until(request) > now
         ]
 
-    def forget(self) -> None:
-        """Forget requests whose quarantine has been over for long."""
+    def discard_expired(self) -> None:
+        """Drop the requests whose quarantine ended long ago."""
         with self._lock:
-            self._book = self._book.forget(self._clock.elapsed())
+            self._history = self._history.discard_expired(self._clock.elapsed())
 
-    def lives(self, request: Fingerprint) -> tuple[LifeTag, ...]:
-        """Return the upstreams that crashed under a request, in order.
+    def crashed_incarnations(self, request: Fingerprint) -> tuple[LifeTag, ...]:
+        """Return the upstreams that crashed under a request.
 
         Args:
-          request: The request.
+          request: The request's fingerprint.
 
         Returns:
-          Their lives.
+          The tags of their incarnations, in the order of their crashes.
         """
-        return tuple(each.life for each in self._book.crashes.get(request, ()))
+        return tuple(
+            crash.life for crash in self._history.crashes.get(request, ())
+        )
--- a/linnetwind/dispatch_crashes.py
+++ b/linnetwind/dispatch_crashes.py
@@ -1,4 +1,4 @@
-"""Which requests an entry daemon does not send on, for crashes under them."""
+"""Quarantine of requests that crash upstreams, in an entry daemon."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -18,32 +18,37 @@
 
 
 class DispatchCrashes:
-    """One daemon's book; entry daemons do not tell each other."""
+    """Tracks the crashes under one entry daemon's requests.
+
+    Entry daemons do not advertise crashes to each other.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with an empty book.
+        """Start with an empty history.
 
         Args:
-          clock: For the ends of quarantines.
+          clock: Gives the times of crashes and the ends of quarantines.
         """
         self._crashes = Crashes(clock)
-        # Sides do not say which life of an upstream crashed, so each crash
-        # gets a name of its own here.
-        self._numbers = count()
+        # Side daemons do not report which incarnation of an upstream crashed,
+        # so every crash gets an incarnation name of its own.
+        self._crash_numbers = count()
 
     def refusal(self, request: CheckedRequest) -> NotRun | None:
-        """Return the refusal of a request that must not be sent on.
+        """Return the refusal of a request that is in quarantine.
 
         Args:
           request: The request.
 
         Returns:
-          The refusal with the time that is left, None if it may be sent.
+          The refusal with the remaining time, None if it may be sent.
         """
-        if not self._crashes.any_known:
+        if not self._crashes.has_crashes:
             return None
-        left = self._crashes.quarantine(_fingerprint(request))
-        return None if left is None else NotRun(Reason.QUARANTINED, left)
+        remaining = self._crashes.quarantine(_fingerprint(request))
+        return (
+            None if remaining is None else NotRun(Reason.QUARANTINED, remaining)
+        )
 
     def note(
         self,
@@ -51,43 +56,44 @@
         began: timedelta,
         outcome: NotRun | Unknown,
     ) -> None:
-        """Take note of an attempt without a whole answer.
+        """Record the crash, if any, behind an attempt that failed.
 
         Args:
           request: The request.
           began: The monotonic time at which it was sent.
-          outcome: What came of it.
+          outcome: Why there is no complete response.
         """
         if outcome.reason is not Reason.UPSTREAM_CRASHED:
             return
         fingerprint = _fingerprint(request)
-        crash = Life(f'crash-{next(self._numbers)}')
-        left = self._crashes.note(fingerprint, crash, began)
+        crash = Life(f'crash-{next(self._crash_numbers)}')
+        remaining = self._crashes.note(fingerprint, crash, began)
         log_decision(
             'upstream_crashed',
             {
                 'request': request.request_id,
                 'fingerprint': fingerprint,
-                'quarantine': '' if left is None else str(left),
+                'quarantine': '' if remaining is None else str(remaining),
             },
         )
 
     def watch(
         self, request: CheckedRequest, began: timedelta, opened: OpenAnswer
     ) -> OpenAnswer:
-        """Return an open answer whose end is taken note of.
+        """Wrap a response so that its end is recorded.
 
         Args:
           request: The request.
           began: The monotonic time at which it was sent.
-          opened: Its answer.
+          opened: Its response, whose body has not been read.
 
         Returns:
-          The same answer.
+          The same response. When its body has been read, a crash or a
+          successful answer is recorded.
         """
-        return replace(opened, body=self._watched(request, began, opened))
+        return replace(opened, body=self._tracked(request, began, opened))
 
-    def _watched(
+    def _tracked(
         self, request: CheckedRequest, began: timedelta, opened: OpenAnswer
     ) -> Iterator[bytes]:
         try:
@@ -95,8 +101,8 @@
         except BrokenAnswer as broken:
             self.note(request, began, broken.outcome)
             raise
-        if self._crashes.any_known and opened.status < _FIRST_FAILURE:
-            self._crashes.answer(_fingerprint(request))
+        if self._crashes.has_crashes and opened.status < _FIRST_FAILURE:
+            self._crashes.record_answer(_fingerprint(request))
 
 
 def _fingerprint(request: CheckedRequest) -> Fingerprint:
--- a/linnetwind/quarantine_keeper.py
+++ b/linnetwind/quarantine_keeper.py
@@ -1,8 +1,8 @@
-"""Keeps in the store which requests are in quarantine.
+"""Persists quarantines of requests in the record store.
 
-No host has a disk. When all gateways lose power at once, nobody is left who
-could tell the next processes, and the request would crash as many upstreams
-again.
+Hosts have no disks. When all gateways lose power at once, no process is left
+that could advertise the quarantines to the restarted gateways, and the same
+requests would crash as many upstreams again.
 """
 
 import queue
@@ -33,24 +33,28 @@
 )
 from linnetwind.step_log import StepLog
 
-# How often it is looked whether the store has lost records, and whether the
-# time of some is over.
-LOOK = timedelta(seconds=1)
+# How often a round checks whether the store has lost records and whether
+# quarantines have ended.
+QUARANTINE_POLL_INTERVAL = timedelta(seconds=1)
 _NAME = 'store-quarantine'
 
 
 @dataclass(frozen=True, slots=True)
-class Quarantined:
-    """What the store keeps of a request: who crashed under it, in order."""
+class QuarantineRecord:
+    """The stored record of a quarantined request.
 
-    lives: tuple[LifeTag, ...]
+    `incarnations` are the tags of the upstreams that crashed under it, in the
+    order of their crashes.
+    """
 
+    incarnations: tuple[LifeTag, ...]
 
-_CODEC = Codec((Quarantined,))
+
+_CODEC = Codec((QuarantineRecord,))
 
 
 class QuarantineKeeper:
-    """Restores quarantines at the start, then writes those begun here."""
+    """Restores stored quarantines at startup, then stores new ones."""
 
     def __init__(
         self,
@@ -60,93 +64,96 @@
         era: Callable[[], int],
         clock: Clock,
         log: StepLog,
-        look: timedelta = LOOK,
+        poll_interval: timedelta = QUARANTINE_POLL_INTERVAL,
     ) -> None:
-        """Start with nothing read.
+        """Start before the stored quarantines have been read.
 
         Args:
-          store: A connection to the store for this alone.
-          crashes: The daemon's book.
-          leads: Whether this daemon drops records whose time is over, and
-            writes again those of daemons that are gone.
+          store: A connection to the store that nothing else uses.
+          crashes: The crashes that this daemon knows.
+          leads: Returns whether this daemon is the leader, which deletes
+            expired records and rewrites lost records of stopped daemons.
           era: Returns the store's era, which rises when it loses records.
-          clock: For outages.
-          log: Told of outages and of what was restored.
-          look: How long a round waits for something to write.
+          clock: Measures outages of the store.
+          log: Receives outages of the store and restored quarantines.
+          poll_interval: How long a round waits for a quarantine to write.
         """
-        self._look = look
+        self._poll_interval = poll_interval
         self._store = store
         self._crashes = crashes
         self._leads = leads
         self._store_era = era
-        self._era = 0
+        self._known_era = 0
         self._clock = clock
         self._log = log
-        self._away_since: timedelta | None = None
+        self._unavailable_since: timedelta | None = None
         self._has_read = False
-        self._new: queue.SimpleQueue[Fingerprint] = queue.SimpleQueue()
-        # What is to be written goes first and stays until the store has it.
+        self._queue: queue.SimpleQueue[Fingerprint] = queue.SimpleQueue()
+        # Retried before anything else until the store has confirmed it.
         self._unwritten: Fingerprint | None = None
         self._written: set[Fingerprint] = set()
         self._restored: set[Fingerprint] = set()
 
     @property
     def has_read(self) -> bool:
-        """Return whether the quarantines of before are known here."""
+        """Return whether the stored quarantines have been restored."""
         return self._has_read
 
     def keep(self, request: Fingerprint) -> None:
-        """Have a quarantine written.
+        """Queue a request to be written to the store.
 
         Args:
-          request: A request under which an upstream crashed here.
+          request: The fingerprint of a request under which an upstream crashed
+            here.
         """
-        self._new.put(request)
+        self._queue.put(request)
 
     def keep_once(self) -> timedelta:
-        """Read or write once; wait while there is nothing to do.
+        """Run one round: restore, write or delete records.
+
+        Waits for up to the poll interval if there is nothing to write.
 
         Returns:
           How long to wait before the next round.
         """
         if not self._has_read:
             return self._restore()
-        self._write_again()
+        self._requeue_lost()
         if self._unwritten is None:
-            self._unwritten = self._next_new()
+            self._unwritten = self._next_queued()
         if self._unwritten is None:
-            return self._drop_one()
+            return self._delete_one_expired()
         return self._write(self._unwritten)
 
-    def _write_again(self) -> None:
-        """Have written again what the store lost, by coming back older."""
+    def _requeue_lost(self) -> None:
+        """Queue the records that the store lost when it restored old data."""
         era = self._store_era()
-        if era <= self._era:
+        if era <= self._known_era:
             return
-        self._era = era
+        self._known_era = era
         leads = self._leads()
         for request in self._crashes.quarantined():
             if leads or request in self._written:
-                self._new.put(request)
+                self._queue.put(request)
 
-    def _next_new(self) -> Fingerprint | None:
+    def _next_queued(self) -> Fingerprint | None:
         try:
-            return self._new.get(timeout=self._look.total_seconds())
+            return self._queue.get(timeout=self._poll_interval.total_seconds())
         except queue.Empty:
             return None
 
     def _restore(self) -> timedelta:
         found = self._store.newest(Topic.QUARANTINE)
         if isinstance(found, StoreUnavailable):
-            return self._wait_for_store(found)
-        self._note_back()
+            return self._retry_later(found)
+        self._record_recovery()
         for record in found.records:
-            self._restore_one(record)
+            self._restore_record(record)
         self._has_read = True
-        self._era = found.era
+        self._known_era = found.era
         return timedelta()
 
-    def _restore_one(self, record: KeyedRecord) -> None:
+    def _restore_record(self, record: KeyedRecord) -> None:
         decoded = _CODEC.decode(record.content or b'')
         if not isinstance(decoded, Ok):
             problem = decoded.err_value.describe()
@@ -156,48 +163,51 @@
             )
             return
         request = Fingerprint(record.key)
-        self._crashes.restore(request, decoded.ok_value.lives)
+        self._crashes.restore(request, decoded.ok_value.incarnations)
         self._restored.add(request)
         self._log.event(
-            QuarantineRestored(request, len(decoded.ok_value.lives))
+            QuarantineRestored(request, len(decoded.ok_value.incarnations))
         )
 
     def _write(self, request: Fingerprint) -> timedelta:
-        content = _CODEC.encode(Quarantined(self._crashes.lives(request)))
+        content = _CODEC.encode(
+            QuarantineRecord(self._crashes.crashed_incarnations(request))
+        )
         failed = self._store.append(Topic.QUARANTINE, request, content)
         if failed is not None:
-            return self._wait_for_store(failed)
-        self._note_back()
+            return self._retry_later(failed)
+        self._record_recovery()
         self._written.add(request)
         self._unwritten = None
         return timedelta()
 
-    def _drop_one(self) -> timedelta:
-        """Drop a record whose quarantine is over, so that none stay for ever.
+    def _delete_one_expired(self) -> timedelta:
+        """Delete one record whose quarantine expired.
 
-        Only the leader does, so that hundreds of daemons do not write at once.
+        Otherwise records would pile up in the store. Only the leader deletes
+        them, so that hundreds of daemons do not write at once.
         """
-        self._crashes.forget()
-        over = [
+        self._crashes.discard_expired()
+        expired = [
             request
             for request in self._written | self._restored
-            if not self._crashes.lives(request)
+            if not self._crashes.crashed_incarnations(request)
         ]
-        if over and self._leads():
-            failed = self._store.append(Topic.QUARANTINE, over[0], None)
+        if expired and self._leads():
+            failed = self._store.append(Topic.QUARANTINE, expired[0], None)
             if failed is None:
-                self._written.discard(over[0])
-                self._restored.discard(over[0])
+                self._written.discard(expired[0])
+                self._restored.discard(expired[0])
         return timedelta()
 
-    def _wait_for_store(self, failed: StoreUnavailable) -> timedelta:
-        if self._away_since is None:
-            self._away_since = self._clock.elapsed()
+    def _retry_later(self, failed: StoreUnavailable) -> timedelta:
+        if self._unavailable_since is None:
+            self._unavailable_since = self._clock.elapsed()
             self._log.event(DependencyLost(_NAME, failed.problem))
         return RETRY_PAUSE * random.uniform(0.5, 1)
 
-    def _note_back(self) -> None:
-        if self._away_since is not None:
-            away = self._clock.elapsed() - self._away_since
-            self._log.event(DependencyBack(_NAME, away))
-            self._away_since = None
+    def _record_recovery(self) -> None:
+        if self._unavailable_since is not None:
+            outage = self._clock.elapsed() - self._unavailable_since
+            self._log.event(DependencyBack(_NAME, outage))
+            self._unavailable_since = None
--- a/linnetwind/quarantine_keeper_test.py
+++ b/linnetwind/quarantine_keeper_test.py
@@ -1,4 +1,4 @@
-"""Tests of quarantines that outlast all gateway processes."""
+"""Tests of quarantines that survive the end of all gateway processes."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -23,40 +23,43 @@
 
 
 class _Store:
-    """A store of one topic; `lost` answers do not come, though it wrote."""
+    """A store of one topic.
+
+    The next `lost_replies` writes succeed, but their replies get lost.
+    """
 
     def __init__(self):
         self.records = {}
         self.is_down = False
-        self.lost = 0
+        self.lost_replies = 0
         self.era = 1
         self.appends = []
 
     def newest(self, topic):
         if self.is_down:
             return StoreUnavailable('down')
-        found = [
+        live_records = [
             KeyedRecord(key, 0, content)
             for key, content in self.records.items()
             if content is not None
         ]
-        return Records(tuple(found), 1, self.era)
+        return Records(tuple(live_records), 1, self.era)
 
     def append(self, topic, key, content):
         self.appends.append(key)
         if self.is_down:
             return StoreUnavailable('down')
         self.records[key] = content
-        if self.lost:
-            self.lost -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             return StoreUnavailable('no answer')
         return None
 
 
 class _Daemon:
-    """A process with its keeper."""
+    """A gateway process with its stored quarantines."""
 
-    def __init__(self, store, leads=True, waits=0):
+    def __init__(self, store, leads=True, poll_seconds=0):
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         self.clock.advance(SECOND)
         self.crashes = Crashes(self.clock)
@@ -68,7 +71,7 @@
             lambda: store.era,
             self.clock,
             self.log,
-            waits * SECOND,
+            poll_seconds * SECOND,
         )
 
     def crash(self, life):
@@ -89,7 +92,7 @@
 
 @pytest.fixture(name='held')
 def _held(store):
-    """Return a daemon that has seen two crashes and had its time to write."""
+    """Return a daemon that has stored a quarantine after two crashes."""
     daemon = _Daemon(store)
     daemon.crash('a')
     daemon.crash('b')
@@ -97,8 +100,8 @@
     return daemon
 
 
-def test_the_next_processes_know_the_quarantine(held, store):
-    # All gateways lose power. The next ones read what was written.
+def test_restarted_gateways_restore_the_quarantine(held, store):
+    # All gateways lose power. The restarted ones read the stored records.
     after = _Daemon(store)
     assert after.crashes.quarantine(BAD) is None
     after.rounds(1)
@@ -106,7 +109,7 @@
     assert after.log.of(QuarantineRestored) == [QuarantineRestored(BAD, 2)]
 
 
-def test_one_crash_after_the_restart_lengthens_it(held, store):
+def test_a_crash_after_the_restart_lengthens_the_quarantine(held, store):
     after = _Daemon(store)
     after.rounds(1)
     after.clock.advance(FIRST_QUARANTINE)
@@ -116,11 +119,11 @@
 
 
 @pytest.mark.parametrize('outage', ['down', 'no answer'])
-def test_a_quarantine_is_written_until_the_store_says_so(store, outage):
+def test_a_write_is_retried_until_the_store_confirms_it(store, outage):
     daemon = _Daemon(store)
     daemon.rounds(1)
     store.is_down = outage == 'down'
-    store.lost = 2 if outage == 'no answer' else 0
+    store.lost_replies = 2 if outage == 'no answer' else 0
     daemon.crash('a')
     daemon.crash('b')
     daemon.rounds(2)
@@ -131,7 +134,7 @@
     assert after.crashes.quarantine(BAD) is not None
 
 
-def test_a_store_that_is_away_at_the_start_is_read_when_it_is_back(held, store):
+def test_a_store_that_is_down_at_startup_is_read_when_it_recovers(held, store):
     store.is_down = True
     after = _Daemon(store)
     after.rounds()
@@ -143,7 +146,7 @@
     assert after.crashes.quarantine(BAD) is not None
 
 
-def test_a_record_of_another_writer_is_passed_over(store):
+def test_an_undecodable_record_is_skipped_and_logged(store):
     store.records = {'x': b'\xff', 'y': b''}
     daemon = _Daemon(store)
     daemon.rounds(1)
@@ -152,8 +155,8 @@
 
 
 @pytest.mark.parametrize('leads', [True, False])
-def test_the_leader_drops_records_whose_time_is_over(held, store, leads):
-    # Without this they would pile up in the store for ever.
+def test_only_the_leader_deletes_expired_records(held, store, leads):
+    # Without this they would pile up in the store.
     daemon = _Daemon(store, leads)
     daemon.rounds(1)
     daemon.clock.advance(2 * FIRST_QUARANTINE + SECOND)
@@ -161,28 +164,30 @@
     assert (store.records[BAD] is None) == leads
 
 
-def test_nothing_is_written_while_nothing_happens(held, store):
+def test_an_idle_daemon_writes_nothing(held, store):
     written = len(store.appends)
     held.rounds(10)
     assert len(store.appends) == written
 
 
-@pytest.mark.parametrize('writer_lives', [True, False])
-def test_a_store_that_comes_back_older_is_told_again(held, store, writer_lives):
-    # The store loses the record. Then all gateways lose power: the next ones
-    # would know nothing.
-    peer = _Daemon(store, leads=not writer_lives)
+@pytest.mark.parametrize('writer_is_alive', [True, False])
+def test_a_record_that_the_store_lost_is_written_again(
+    held, store, writer_is_alive
+):
+    # The store loses the record. If all gateways then lose power, the
+    # restarted ones would not know of the quarantine.
+    peer = _Daemon(store, leads=not writer_is_alive)
     peer.rounds(1)
     store.records = {}
     store.era += 1
-    daemon = held if writer_lives else peer
+    daemon = held if writer_is_alive else peer
     daemon.rounds()
     after = _Daemon(store)
     after.rounds(1)
     assert after.crashes.quarantine(BAD) is not None
 
 
-def test_a_follower_leaves_it_to_the_writer_to_tell_again(held, store):
+def test_a_follower_does_not_rewrite_the_records_of_others(held, store):
     # Hundreds of daemons must not write at once.
     peer = _Daemon(store, leads=False)
     peer.rounds(1)
--- a/linnetwind/rank_crashes.py
+++ b/linnetwind/rank_crashes.py
@@ -1,4 +1,4 @@
-"""Tells the room for streams of ranks that have crashed."""
+"""Closes rank groups to new streams when one of their ranks crashes."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -9,23 +9,24 @@
 from linnetwind.lives import tag_life
 from linnetwind.upstream_list import Upstream
 
-# A crash that was told later than this says nothing of the rank's group: its
-# planner has.
-_NEWS_MS = 1_000
+# A crash that a peer advertises at a greater age is ignored: by then the
+# planner has published the state of the rank's group.
+_MAX_CRASH_AGE_MS = 1_000
 
 
-def note_rank_crash(
+def record_rank_crash(
     state: GatewayState, upstream: Upstream, at: timedelta
 ) -> bool:
-    """Take note that an upstream has crashed; a rank's group is broken then.
+    """Record that an upstream has crashed, which breaks the group of a rank.
 
     Args:
       state: The daemon's shared state.
       upstream: The upstream.
-      at: The monotonic time at which it was seen.
+      at: The monotonic time at which the crash was detected.
 
     Returns:
-      Whether it was a rank that was to stay. One that leaves ends by itself.
+      Whether it was a rank that was not leaving. A leaving rank stops by
+      itself, which is no crash.
     """
     table = state.table
     service = None if table is None else table.services.get(upstream.service)
@@ -33,31 +34,31 @@
         return False
     if state.room.note_crash(service.name, upstream.life, at):
         state.room.wake()
-    staying = state.upstreams.usable(service.name, at)
-    return any(each.life == upstream.life for each in staying)
+    not_leaving = state.upstreams.usable(service.name, at)
+    return any(other.life == upstream.life for other in not_leaving)
 
 
 def hear_rank_crashes(
     state: GatewayState, crashes: Iterable[ToldCrash], now: timedelta
 ) -> None:
-    """Take in the crashes that a peer tells.
+    """Record the crashes of ranks that a peer advertises.
 
     Args:
       state: The daemon's shared state.
-      crashes: The crashes.
+      crashes: The advertised crashes under requests.
       now: The monotonic time.
     """
-    ended = {
-        each.life: moment_of(each.ended_ms, now)
-        for each in crashes
-        if each.ended_ms < _NEWS_MS
+    crashed_at = {
+        crash.life: moment_of(crash.ended_ms, now)
+        for crash in crashes
+        if crash.ended_ms < _MAX_CRASH_AGE_MS
     }
-    if not ended:
+    if not crashed_at:
         return
     for record in state.upstreams.records.values():
         upstream = record.upstream
         if upstream is None:
             continue
-        at = ended.get(tag_life(upstream.life))
+        at = crashed_at.get(tag_life(upstream.life))
         if at is not None:
-            note_rank_crash(state, upstream, at)
+            record_rank_crash(state, upstream, at)
