--- a/linnetwind/group_breaks_test.py
+++ b/linnetwind/group_breaks_test.py
@@ -1,4 +1,4 @@
-"""Tests of knowing that a group is broken as soon as a rank has crashed."""
+"""Tests that a group counts as broken as soon as one of its ranks crashes."""
 
 import random
 from datetime import timedelta
@@ -6,7 +6,7 @@
 import pytest
 
 from linnetwind.group_breaks import (
-    USUAL_OUTAGE,
+    DEFAULT_OUTAGE,
     GroupHealth,
     GroupWord,
     expected_opening,
@@ -17,96 +17,103 @@
 MS = timedelta(milliseconds=1)
 SECOND = timedelta(seconds=1)
 CRASH = 10 * SECOND
-# What callers send a second in all, and what may reach a stalled group.
+# The streams that all callers send per second.
 ARRIVALS_PER_S = 130
-MOST_AFTER_NEWS = 10
-# When everybody should know of a crash.
-NEWS_WITHIN = 50 * MS
-# Those that had a stream at the rank; the packets of each come one by one.
+# How many streams may reach the stalled group after the deadline below.
+MAX_LATE_STREAMS = 10
+# When all gateways should know of a crash.
+KNOWN_WITHIN = 50 * MS
+# The gateways that had a stream at the rank. Each advertises the crash in a
+# packet of its own.
 WITNESSES = 3
 
 
-def _sound(at=timedelta(), epoch=1):
+def _healthy(at=timedelta(), epoch=1):
     return take_word(GroupHealth(), GroupWord(at, epoch, is_open=True))
 
 
 def test_a_crash_closes_the_group_whatever_its_ranks_say():
-    # The engines give up 1.5 s after the crash and say until then that the
-    # group is open. Its planner looked just before; streams went on to it.
-    health = note_crash(_sound(), CRASH)
+    # The engines give up 1.5 s after the crash and report the group as open
+    # until then. The planner's last poll is from before the crash, so its
+    # announcement must not keep streams going to the group.
+    health = note_crash(_healthy(), CRASH)
     health = take_word(health, GroupWord(CRASH + 40 * MS, 1, is_open=True))
     opening = expected_opening(health, None, CRASH + 40 * MS)
-    assert opening == USUAL_OUTAGE - 40 * MS
+    assert opening == DEFAULT_OUTAGE - 40 * MS
 
 
-def test_a_group_that_formed_anew_is_open_at_once():
-    health = note_crash(_sound(), CRASH)
+def test_a_group_in_a_new_epoch_is_open_at_once():
+    health = note_crash(_healthy(), CRASH)
     health = take_word(health, GroupWord(CRASH + 100 * MS, 2, is_open=True))
     assert expected_opening(health, None, CRASH + 100 * MS) is None
 
 
-def test_one_gateway_that_lost_a_rank_does_not_close_a_sound_group_for_long():
-    # A false alarm: the planner goes on to see all ranks and their passes.
-    health = note_crash(_sound(), CRASH)
-    for look in range(1, 8):
-        word = GroupWord(CRASH + look * 100 * MS, 1, is_open=True)
-        health = take_word(health, word)
+def test_a_false_alarm_of_one_gateway_closes_a_healthy_group_only_briefly():
+    # One gateway cannot reach a rank and takes it for crashed. The planner
+    # still sees all ranks and their passes.
+    health = note_crash(_healthy(), CRASH)
+    for poll in range(1, 8):
+        announcement = GroupWord(CRASH + poll * 100 * MS, 1, is_open=True)
+        health = take_word(health, announcement)
     assert expected_opening(health, None, CRASH + 700 * MS) is None
-    # Others repeat what they were told, for a while.
+    # Peers repeat the advertisement of the crash for a while.
     health = note_crash(health, CRASH)
     assert expected_opening(health, None, CRASH + 800 * MS) is None
-    assert health.outage == USUAL_OUTAGE
+    assert health.outage == DEFAULT_OUTAGE
 
 
-def test_a_crash_before_the_group_opened_is_no_news():
-    health = take_word(_sound(), GroupWord(CRASH, 1, is_open=False))
+def test_a_crash_before_the_group_opened_is_ignored():
+    health = take_word(_healthy(), GroupWord(CRASH, 1, is_open=False))
     health = take_word(health, GroupWord(CRASH + SECOND, 2, is_open=True))
     assert note_crash(health, CRASH) == health
 
 
-def test_the_planner_knows_better_when_its_group_opens():
-    health = note_crash(_sound(), CRASH)
+def test_the_estimate_of_the_planner_takes_precedence():
+    health = note_crash(_healthy(), CRASH)
     assert expected_opening(health, 600 * MS, CRASH + SECOND) == 600 * MS
     assert expected_opening(health, -MS, CRASH + SECOND) == timedelta()
 
 
 def test_the_next_outage_is_expected_to_last_as_long():
-    health = note_crash(_sound(), CRASH)
-    back = CRASH + 2 * SECOND
-    health = take_word(health, GroupWord(back, 2, is_open=True))
-    health = note_crash(health, back + SECOND)
-    assert expected_opening(health, None, back + SECOND) == 2 * SECOND
+    health = note_crash(_healthy(), CRASH)
+    reopened = CRASH + 2 * SECOND
+    health = take_word(health, GroupWord(reopened, 2, is_open=True))
+    health = note_crash(health, reopened + SECOND)
+    assert expected_opening(health, None, reopened + SECOND) == 2 * SECOND
 
 
-def test_a_group_of_which_nobody_speaks_any_more_is_tried_again():
+def test_a_group_that_no_planner_announces_is_tried_again():
     health = note_crash(GroupHealth(), CRASH)
     assert expected_opening(health, None, CRASH + 5 * SECOND) == timedelta()
     assert expected_opening(health, None, CRASH + 11 * SECOND) is None
 
 
 @pytest.mark.parametrize('gateways', [13, 46, 400])
-@pytest.mark.parametrize('lost', [0, 0.025, 0.05])
-def test_hardly_a_stream_goes_to_a_stalled_group(gateways, lost):
-    # A rank crashes at 130 arrivals a second. Those gateways that had a stream
-    # there tell all others at once; the others hear them, or the planner's
-    # word half a second later. Before, all of 1.5 s went to the stalled ranks.
+@pytest.mark.parametrize('loss', [0, 0.025, 0.05])
+def test_few_streams_reach_a_stalled_group(gateways, loss):
+    # A rank crashes while 130 streams arrive per second. The gateways that had
+    # a stream there advertise the crash at once. A gateway that receives none
+    # of these packets learns of it from the planner half a second later.
+    # Without this, the streams of 1.5 s went to the stalled ranks.
     chance = random.Random(gateways)
-    knows_at = []
+    delays = []
     for _gateway in range(gateways):
-        packets = [chance.random() >= lost for _each in range(WITNESSES)]
-        delay = 5 * MS if any(packets) else 500 * MS
-        health = note_crash(_sound(), CRASH)
+        received = [chance.random() >= loss for _witness in range(WITNESSES)]
+        delay = 5 * MS if any(received) else 500 * MS
+        health = note_crash(_healthy(), CRASH)
         closed = expected_opening(health, None, CRASH + delay) is not None
-        knows_at.append(delay if closed else 1500 * MS)
-    late = sum(
-        max(each - NEWS_WITHIN, timedelta()) / SECOND for each in knows_at
+        delays.append(delay if closed else 1500 * MS)
+    late_seconds = sum(
+        max(known_after - KNOWN_WITHIN, timedelta()) / SECOND
+        for known_after in delays
     )
-    assert late * ARRIVALS_PER_S / gateways < MOST_AFTER_NEWS
+    assert late_seconds * ARRIVALS_PER_S / gateways < MAX_LATE_STREAMS
 
 
-def test_a_group_that_its_planner_called_broken_is_open_at_its_word():
-    # After a power loss the planner sees the ranks come, then the group form.
-    # Callers that waited were kept from it for half a second more.
+def test_a_group_that_was_announced_as_broken_opens_when_announced():
+    # After a power loss the planner sees the ranks start and then the group
+    # form. The confirmation delay after a crash must not apply here, or waiting
+    # callers would be held back for another half a second.
     health = take_word(GroupHealth(), GroupWord(CRASH, 0, is_open=False))
     opened = CRASH + 250 * MS
     health = take_word(health, GroupWord(opened, 1, is_open=True))
