--- a/linnetwind/group_brief.py
+++ b/linnetwind/group_brief.py
@@ -1,4 +1,4 @@
-"""What the planner tells all gateways of a service's rank groups."""
+"""Summaries of rank groups that the planner sends to all gateways."""
 
 from collections.abc import Collection, Mapping
 from datetime import timedelta
@@ -7,25 +7,26 @@
 from linnetwind.planned_group import PlannedGroup
 from linnetwind.routes import RoutedService
 
-# The least time until a rank that is away is expected back.
-_RANK_BACK_MS = 800
-_RANK_BACK = timedelta(milliseconds=_RANK_BACK_MS)
-# A group of which a rank is missing, and whose passes have stood still for this
-# long, is broken. Its ranks say so only when their engines give up, a second or
-# more later. A pass that is in time takes half of this.
+# The minimum time until an unavailable rank is expected back.
+_MIN_RANK_ABSENCE_MS = 800
+_MIN_RANK_ABSENCE = timedelta(milliseconds=_MIN_RANK_ABSENCE_MS)
+# A group is broken if one of its ranks does not reply and the group has made no
+# progress for this long. Its ranks report this only when their engines give up,
+# a second or more later. A pass that is on time takes half as long.
 _STANDSTILL_MS = 300
 _STANDSTILL = timedelta(milliseconds=_STANDSTILL_MS)
-# A group without streams makes no passes; a look may take half of this where
-# one rank's agent is slow.
+# The same for a group without streams, which makes no passes. A poll may take
+# half as long if the agent of a rank is slow.
 _IDLE_STANDSTILL_MS = 1_000
 _IDLE_STANDSTILL = timedelta(milliseconds=_IDLE_STANDSTILL_MS)
-# By then the engines have given up, and what their ranks say holds. A planner
-# that cannot reach one rank of an idle group would keep it closed for ever:
-# without streams it makes no passes by which it could be seen to be sound.
-_ENGINES_KNOW_S = 3
-_ENGINES_KNOW = timedelta(seconds=_ENGINES_KNOW_S)
-# A rank that takes so many times the usual time for the same work gets no new
-# streams; smaller differences are left to the placement of experts.
+# After this time the engines of a broken group have given up, so what their
+# ranks report is true again. Without this limit a planner that cannot reach one
+# rank of an idle group would keep the group closed forever: without streams it
+# makes no passes that would show that it is healthy.
+_ENGINE_TIMEOUT_S = 3
+_ENGINE_TIMEOUT = timedelta(seconds=_ENGINE_TIMEOUT_S)
+# A rank that takes this many times the usual time for the same work gets no new
+# streams. Smaller differences are left to the placement of experts.
 SLOW_PACE = 1.4
 
 
@@ -35,33 +36,33 @@
     now: timedelta,
     outages: Mapping[str, timedelta],
 ) -> list[GroupBrief]:
-    """Return what the gateways need to know of a service's groups.
+    """Summarize the groups of a service for the gateways.
 
     Args:
       service: The service.
-      groups: Its groups, as they were last seen.
+      groups: Its groups, as of the last poll.
       now: The monotonic time.
-      outages: How long a group's outages last, of those that are known.
+      outages: The length of the last outage by group, where it is known.
 
     Returns:
-      A brief of each group that was seen.
+      A summary of each group of which a rank has replied.
     """
     return [
-        _brief(service, each, now, outages.get(each.name, timedelta()))
+        _summarize(service, each, now, outages.get(each.name, timedelta()))
         for each in groups
         if each.reports
     ]
 
 
-def _brief(
+def _summarize(
     service: RoutedService,
     group: PlannedGroup,
     now: timedelta,
     outage: timedelta,
 ) -> GroupBrief:
-    runs = is_open(group, now)
+    group_is_open = is_open(group, now)
     opens_in = timedelta()
-    if not runs:
+    if not group_is_open:
         opens_in = _opens_in(service, group, now, outage)
     slow = [
         group.ranks[rank].life
@@ -72,12 +73,13 @@
         service=service.name,
         group=group.name,
         epoch=max(each.epoch for each in group.reports.values()),
-        is_open=runs,
+        is_open=group_is_open,
         skew=group.skew,
         opens_in_ms=int(opens_in / timedelta(milliseconds=1)),
-        # Also those that did not answer this time: their streams would be
-        # missing from the group's count, and as many too many would begin.
-        members=tuple(group.lives.values()),
+        # Includes the ranks that did not reply to the last poll. Otherwise
+        # their streams would be missing from the group's count, and as many
+        # excess streams would be admitted.
+        members=tuple(group.incarnations.values()),
         slow=tuple(slow),
     )
 
@@ -88,43 +90,44 @@
     now: timedelta,
     outage: timedelta,
 ) -> timedelta:
-    """Return when a broken group is expected to open.
+    """Return how long it should take until a broken group opens.
 
-    With all ranks back only its forming is left. Otherwise it should take as
-    long as last time. A rank that has been away for longer is expected to be
-    away for as long again.
+    If all ranks are back, the group only has to form. Otherwise the outage is
+    expected to last as long as the previous one. If it already lasts longer,
+    the missing rank is expected to stay away for as long again.
     """
     forming = timedelta(milliseconds=service.engine.form_ms)
-    if _has_all_ranks(group):
+    if _is_complete(group):
         return forming
-    away = now - group.whole_at
-    if away + forming < outage:
-        return outage - away
-    return forming + max(_RANK_BACK, away)
+    absence = now - group.whole_at
+    if absence + forming < outage:
+        return outage - absence
+    return forming + max(_MIN_RANK_ABSENCE, absence)
 
 
 def is_open(group: PlannedGroup, now: timedelta) -> bool:
-    """Return whether a group runs streams.
+    """Return whether a group runs streams, as far as this daemon can observe.
 
     Args:
-      group: The group, of which some rank has reported.
+      group: The group, of which at least one rank has reported.
       now: The monotonic time.
 
     Returns:
-      Whether it does, as far as this daemon can see.
+      Whether the group is open.
     """
     if not all(each.is_open for each in group.reports.values()):
         return False
-    if _has_all_ranks(group):
+    if _is_complete(group):
         return True
-    # One that does not answer the planner may be sound; its group goes on.
-    seen_sound_at = max(group.whole_at, group.stepped_at)
+    # A rank that does not reply to the planner may still be healthy. In that
+    # case its group continues to make passes.
+    last_healthy_at = max(group.whole_at, group.progressed_at)
     is_busy = any(each.running for each in group.reports.values())
-    longest = _STANDSTILL if is_busy else _IDLE_STANDSTILL
-    stood_still = now - seen_sound_at
-    return not longest <= stood_still < _ENGINES_KNOW
+    limit = _STANDSTILL if is_busy else _IDLE_STANDSTILL
+    standstill = now - last_healthy_at
+    return not limit <= standstill < _ENGINE_TIMEOUT
 
 
-def _has_all_ranks(group: PlannedGroup) -> bool:
+def _is_complete(group: PlannedGroup) -> bool:
     size = max(each.size for each in group.reports.values())
     return len(group.reports) == size
--- a/linnetwind/group_brief_test.py
+++ b/linnetwind/group_brief_test.py
@@ -1,11 +1,11 @@
-"""Tests of what gateways are told of a service's rank groups."""
+"""Tests of the summaries of rank groups that a planner sends to gateways."""
 
 from datetime import timedelta
 
 from linnetwind.group_brief import make_briefs
-from linnetwind.group_looks import SeenRank
+from linnetwind.group_looks import ObservedRank
 from linnetwind.planned_group import (
-    GROUP_FORGOTTEN,
+    GROUP_EXPIRY,
     PlannedGroup,
     PlannedService,
     take_groups,
@@ -33,97 +33,101 @@
             pace=pace,
             running=running,
         )
-        ranks[rank] = SeenRank(upstream, upstream.life, report, Seen(report))
+        ranks[rank] = ObservedRank(
+            upstream, upstream.life, report, Seen(report)
+        )
     group = PlannedGroup(name, None, timedelta(), ranks=ranks, skew=skew)
     group.reports = {rank: each.report for rank, each in ranks.items()}
-    group.lives = {rank: each.life for rank, each in ranks.items()}
+    group.incarnations = {rank: each.life for rank, each in ranks.items()}
     return group
 
 
-def _briefs(groups, now=timedelta()):
+def _summaries(groups, now=timedelta()):
     return {each.group: each for each in make_briefs(SERVICE, groups, now, {})}
 
 
-def test_a_broken_group_is_told_apart_from_a_sound_one():
-    # One of two groups breaks. Its ranks would refuse streams, and those of
-    # the other go on.
+def test_a_broken_group_is_distinguished_from_a_healthy_one():
+    # One of two groups breaks. Its ranks would refuse streams, while those of
+    # the other still accept them.
     groups = [_group('a'), _group('b', is_open=False, epoch=4, skew=2.5)]
-    briefs = _briefs(groups)
-    assert briefs['a'].is_open
-    assert briefs['a'].opens_in_ms == 0
-    assert briefs['a'].members == ('a0', 'a1')
-    assert not briefs['b'].is_open
-    assert briefs['b'].members == ('b0', 'b1')
-    assert (briefs['b'].epoch, briefs['b'].skew) == (4, 2.5)
+    summaries = _summaries(groups)
+    assert summaries['a'].is_open
+    assert summaries['a'].opens_in_ms == 0
+    assert summaries['a'].members == ('a0', 'a1')
+    assert not summaries['b'].is_open
+    assert summaries['b'].members == ('b0', 'b1')
+    assert (summaries['b'].epoch, summaries['b'].skew) == (4, 2.5)
 
 
 def test_a_group_with_all_ranks_back_only_has_to_form():
-    forming = _briefs([_group('a', is_open=False)])['a']
+    forming = _summaries([_group('a', is_open=False)])['a']
     assert forming.opens_in_ms == SERVICE.engine.form_ms
 
 
-def test_a_rank_that_is_long_away_is_expected_to_stay_away():
-    # Callers wait for a group that opens soon. Told again and again that the
-    # dead rank is back in 0.8 s, each would wait out its time and be refused.
+def test_the_longer_a_rank_is_missing_the_later_it_is_expected_back():
+    # Callers wait for a group that opens soon. If the crashed rank were always
+    # expected back in 0.8 s, each caller would wait for its whole timeout and
+    # then be refused.
     group = _group('a', is_open=False, paces=(1.0, 1.0, 1.0))
     group.reports.pop(2)
     forming = timedelta(milliseconds=SERVICE.engine.form_ms)
-    soon = _briefs([group], SECOND / 10)['a'].opens_in_ms
-    late = _briefs([group], 3 * SECOND)['a'].opens_in_ms
+    soon = _summaries([group], SECOND / 10)['a'].opens_in_ms
+    late = _summaries([group], 3 * SECOND)['a'].opens_in_ms
     assert soon == (forming + 0.8 * SECOND) / timedelta(milliseconds=1)
     assert late == (forming + 3 * SECOND) / timedelta(milliseconds=1)
 
 
-def test_a_rank_that_does_not_answer_stays_a_member():
-    # An agent is slow for one look. If its rank were no member, the streams
-    # that run there would not be counted, and others begin in their places.
+def test_a_rank_that_does_not_reply_stays_a_member():
+    # An agent misses one poll. If its rank were no member, the streams that run
+    # there would not be counted, and too many others would be admitted.
     group = _group('a', paces=(1.0, 1.0, 1.0))
     group.ranks.pop(1)
     group.reports.pop(1)
-    assert _briefs([group])['a'].members == ('a0', 'a1', 'a2')
+    assert _summaries([group])['a'].members == ('a0', 'a1', 'a2')
 
 
 def test_slow_ranks_get_no_new_streams():
     groups = [_group('a', paces=(1.0, 3.0)), _group('b')]
-    briefs = _briefs(groups)
-    assert briefs['a'].slow == ('a1',)
-    assert briefs['b'].slow == ()
+    summaries = _summaries(groups)
+    assert summaries['a'].slow == ('a1',)
+    assert summaries['b'].slow == ()
 
 
-def test_of_a_service_without_groups_nothing_is_said():
-    assert _briefs([]) == {}
+def test_a_service_without_groups_has_no_summaries():
+    assert _summaries([]) == {}
 
 
-def test_a_group_that_is_gone_is_forgotten():
+def test_a_group_that_does_not_reply_expires():
     planned = PlannedService(None)
     ranks = _group('a').ranks
     take_groups(planned, {'a': ranks, 'b': ranks}, timedelta())
-    take_groups(planned, {'a': ranks}, GROUP_FORGOTTEN)
+    take_groups(planned, {'a': ranks}, GROUP_EXPIRY)
     assert sorted(planned.groups) == ['a', 'b']
-    take_groups(planned, {'a': ranks}, GROUP_FORGOTTEN + SECOND)
+    take_groups(planned, {'a': ranks}, GROUP_EXPIRY + SECOND)
     assert sorted(planned.groups) == ['a']
 
 
-def test_a_group_whose_passes_stand_still_without_a_rank_is_broken():
-    # One rank has crashed. The others say "open" until their engines give up,
-    # 1.5 s later; streams that were sent to them meanwhile were refused then.
+def test_a_group_that_stalls_while_a_rank_is_missing_is_broken():
+    # One rank has crashed. The others report the group as open until their
+    # engines give up 1.5 s later, and then refuse the streams that were sent to
+    # them meanwhile.
     group = _group('a', paces=(1.0, 1.0, 1.0), running=4)
     group.reports.pop(1)
     group.whole_at = SECOND
-    group.stepped_at = 1.1 * SECOND
-    assert _briefs([group], 1.3 * SECOND)['a'].is_open
-    assert not _briefs([group], 1.4 * SECOND)['a'].is_open
+    group.progressed_at = 1.1 * SECOND
+    assert _summaries([group], 1.3 * SECOND)['a'].is_open
+    assert not _summaries([group], 1.4 * SECOND)['a'].is_open
 
 
-def test_a_rank_that_only_the_planner_misses_leaves_its_group_open():
+def test_a_rank_that_only_the_planner_cannot_reach_leaves_the_group_open():
     group = _group('a', paces=(1.0, 1.0, 1.0))
     group.reports.pop(1)
-    group.stepped_at = 4.9 * SECOND
-    assert _briefs([group], 5 * SECOND)['a'].is_open
+    group.progressed_at = 4.9 * SECOND
+    assert _summaries([group], 5 * SECOND)['a'].is_open
 
 
-def test_an_outage_is_expected_to_last_as_long_as_the_last_one():
-    # Told too short a time, callers come back twice in vain.
+def test_an_outage_is_expected_to_last_as_long_as_the_previous_one():
+    # A caller that is given too short a time retries twice in vain.
     group = _group('a', is_open=False, paces=(1.0, 1.0, 1.0))
     group.reports.pop(1)
     outages = {'a': 4 * SECOND}
@@ -134,21 +138,21 @@
 
 
 def test_an_idle_group_is_not_closed_by_one_slow_agent():
-    # Nothing runs, so that no passes are made. One look takes half a second,
-    # since an agent does not answer; the next caller must not be sent away.
+    # No stream runs, so the group makes no passes. One poll takes half a second
+    # because an agent does not reply; the next caller must not be rejected.
     group = _group('a', paces=(1.0, 1.0, 1.0))
     group.reports.pop(1)
     group.whole_at = SECOND
-    assert _briefs([group], 1.6 * SECOND)['a'].is_open
-    assert not _briefs([group], 2 * SECOND)['a'].is_open
+    assert _summaries([group], 1.6 * SECOND)['a'].is_open
+    assert not _summaries([group], 2 * SECOND)['a'].is_open
 
 
-def test_a_group_is_open_again_if_its_ranks_still_say_so():
-    # The planner never reaches one rank, and nothing runs. The group was
-    # closed for that, no stream could begin, and it stayed closed: of a day's
-    # requests 0.06 were served.
+def test_an_idle_group_reopens_if_its_ranks_still_report_it_open():
+    # The planner never reaches one rank, and no stream runs. The group was
+    # closed for that, so that no stream could start and show that it was
+    # healthy. It stayed closed, and 0.06 of a day's requests were served.
     group = _group('a', paces=(1.0, 1.0, 1.0))
     group.reports.pop(1)
     group.whole_at = SECOND
-    assert not _briefs([group], 3 * SECOND)['a'].is_open
-    assert _briefs([group], 4 * SECOND)['a'].is_open
+    assert not _summaries([group], 3 * SECOND)['a'].is_open
+    assert _summaries([group], 4 * SECOND)['a'].is_open
--- a/linnetwind/group_looks.py
+++ b/linnetwind/group_looks.py
@@ -1,8 +1,8 @@
-"""What the ranks of a group have said, kept apart by their lives.
+"""Observations of ranks, kept separate for each incarnation of a rank.
 
-A rank that starts again under its name holds nothing of before and counts
-anew. Whatever was said by, or ordered for, the life before is not taken for
-news of the next.
+A rank that restarts under the same name has lost its expert maps and starts its
+counts from zero. What its previous incarnation reported, or was ordered to do,
+must not be attributed to the new one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,144 +15,146 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenRank:
-    """What one rank has said.
+class ObservedRank:
+    """The last reply of one rank.
 
-    `upstream` is the entry by which it was reached; `life` is the one that
-    answered, which a list that is behind does not know yet.
+    `upstream` is the registry entry through which the rank was reached. `life`
+    is the incarnation that replied; a list of upstreams that lags behind may
+    not contain it yet.
     """
 
     upstream: Upstream
     life: Life
     report: RankReport
-    seen: Seen
+    snapshot: Seen
 
 
 def newest_by_address(entries: Iterable[Upstream]) -> list[Upstream]:
-    """Return the entries that are worth asking.
+    """Return the entries that are worth querying.
 
-    After a power loss the entries of the lives before stay for some seconds
-    and lead to the same ranks. Asked as well, they double the work of each
-    look just when a first map is wanted.
+    After a power loss the entries of the previous incarnations remain for some
+    seconds and lead to the same ranks. Querying them too would double the work
+    of each poll just when a first map is needed.
 
     Args:
       entries: Registered upstreams, the newest last.
 
     Returns:
-      The newest entry of each address, and of those that state their start
-      one for each life: the answer shows which of them lives.
+      The newest entry of each address. Among entries that state their start
+      time, the newest of each incarnation; the replies show which is running.
     """
-    newest = {(each.address, each.born_ms): each for each in entries}
+    newest = {(entry.address, entry.born_ms): entry for entry in entries}
     return list(newest.values())
 
 
-def sort_by_rank(answers: Mapping[Upstream, Seen]) -> dict[int, SeenRank]:
-    """Return what each rank of a group has said.
+def index_by_rank(replies: Mapping[Upstream, Seen]) -> dict[int, ObservedRank]:
+    """Index the replies of one group's ranks by rank.
 
-    After a restart two entries may lead to one rank: that of the life that
-    answers counts before that of the life before, and where no start is
-    stated the newest. Taken as they came, a rank was now one life and now the
-    other while the old entries were dropped; its planner forgot the group's
-    map each time, and after a power loss the first map came 2.5 s late.
+    After a restart two entries may lead to the same rank. The entry of the
+    incarnation that replies takes precedence over that of the previous one;
+    among entries without a start time the newest does. Otherwise the rank would
+    alternate between both incarnations until the old entries are removed, and
+    its planner would discard the group's map each time. That delayed the first
+    map after a power loss by 2.5 s.
 
     Args:
-      answers: The answer of each upstream that was asked, the newest entry
-        last.
+      replies: The snapshot from each upstream that was queried, the newest
+        entry last.
 
     Returns:
-      The ranks that have answered.
+      The ranks that have replied, by rank.
     """
-    found = [
-        _seen_rank(upstream, seen)
-        for upstream, seen in answers.items()
-        if seen.report is not None
+    observed = [
+        _observe_rank(upstream, snapshot)
+        for upstream, snapshot in replies.items()
+        if snapshot.report is not None
     ]
-    found.sort(key=_is_of_its_entry)
-    return {each.report.rank: each for each in found}
+    observed.sort(key=_matches_its_entry)
+    return {each.report.rank: each for each in observed}
 
 
 def sort_by_group(
-    answers: Mapping[Upstream, Seen],
-) -> dict[str, dict[int, SeenRank]]:
-    """Return what each rank has said, by the name of its group.
+    replies: Mapping[Upstream, Seen],
+) -> dict[str, dict[int, ObservedRank]]:
+    """Index the replies of a service's ranks by group and rank.
 
-    A service may have several groups, whose ranks have the same numbers.
-    Taken for one group, some ranks of each were armed and others were not,
-    and the next pass of each mixed two maps.
+    A service may have several groups whose ranks have the same numbers. When
+    they were treated as one group, only some ranks of each group were armed,
+    and the next pass of each group mixed two maps.
 
     Args:
-      answers: The answer of each upstream that was asked.
+      replies: The snapshot from each upstream that was queried.
 
     Returns:
-      The ranks that have answered.
+      The ranks that have replied, by the name of their group and by rank.
     """
     by_group: dict[str, dict[Upstream, Seen]] = {}
-    for upstream, seen in answers.items():
-        if seen.report is not None:
-            members = by_group.setdefault(seen.report.group, {})
-            members[upstream] = seen
-    return {name: sort_by_rank(members) for name, members in by_group.items()}
+    for upstream, snapshot in replies.items():
+        if snapshot.report is not None:
+            members = by_group.setdefault(snapshot.report.group, {})
+            members[upstream] = snapshot
+    return {name: index_by_rank(members) for name, members in by_group.items()}
 
 
-def counts_of(ranks: Mapping[int, SeenRank]) -> dict[int, CountLanes]:
-    """Return the counts of the ranks that have told them.
+def counts_of(ranks: Mapping[int, ObservedRank]) -> dict[int, CountLanes]:
+    """Return the counts of the ranks that have reported them.
 
     Args:
-      ranks: What each rank has said.
+      ranks: The observed ranks of a group.
 
     Returns:
       The counts by rank.
     """
     return {
-        rank: each.seen.counts
+        rank: each.snapshot.counts
         for rank, each in ranks.items()
-        if each.seen.counts is not None
+        if each.snapshot.counts is not None
     }
 
 
 def held_maps(
-    ranks: Mapping[int, SeenRank], epoch: int, version: int
+    ranks: Mapping[int, ObservedRank], epoch: int, version: int
 ) -> RankMaps | None:
-    """Return the map in use, as the ranks say what they hold.
+    """Return the map in use, assembled from the experts that the ranks hold.
 
     Args:
-      ranks: What each rank has said.
+      ranks: The observed ranks of a group.
       epoch: The epoch in which the map is in use.
       version: The map's version.
 
     Returns:
-      The map, or None unless every rank has said what it holds of it.
+      The map, or None unless every rank has reported its part of it.
     """
     by_rank = []
     for _rank, each in sorted(ranks.items()):
-        held = each.seen.experts
+        held = each.snapshot.experts
         if held is None or (held.epoch, held.version) != (epoch, version):
             return None
         by_rank.append(held.experts)
     return tuple(zip(*by_rank, strict=True))
 
 
-def _seen_rank(upstream: Upstream, seen: Seen) -> SeenRank:
-    """Leave out what another life than that of the report has said.
+def _observe_rank(upstream: Upstream, snapshot: Seen) -> ObservedRank:
+    """Drop what comes from another incarnation than the report does.
 
-    The report, counts and experts of one answer come by calls of their own,
-    between which the rank may start again.
+    The report, counts and experts of one snapshot are read by separate calls,
+    between which the rank may restart.
     """
-    born_ms = seen.report.born_ms
+    born_ms = snapshot.report.born_ms
     if born_ms is None:
-        return SeenRank(upstream, upstream.life, seen.report, seen)
-    counts, experts = seen.counts, seen.experts
+        return ObservedRank(upstream, upstream.life, snapshot.report, snapshot)
+    counts, experts = snapshot.counts, snapshot.experts
     if counts is not None and counts.born_ms not in {born_ms, None}:
         counts = None
     if experts is not None and experts.born_ms not in {born_ms, None}:
         experts = None
-    return SeenRank(
+    return ObservedRank(
         upstream,
         name_life(upstream.instance, born_ms),
-        seen.report,
-        replace(seen, counts=counts, experts=experts),
+        snapshot.report,
+        replace(snapshot, counts=counts, experts=experts),
     )
 
 
-def _is_of_its_entry(rank: SeenRank) -> bool:
+def _matches_its_entry(rank: ObservedRank) -> bool:
     return rank.life == rank.upstream.life
--- a/linnetwind/group_wait.py
+++ b/linnetwind/group_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for a broken group with a stream that was cut there."""
+"""Holds a stream that a broken group interrupted until a group is open."""
 
 import threading
 from datetime import timedelta
@@ -6,12 +6,12 @@
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.journey import GatewayTools, Journey
 
-_LOOK_MS = 25
-_LOOK = timedelta(milliseconds=_LOOK_MS)
-# Callers give up a stream that shows nothing for two seconds; the rest is for
-# the way and the resumed stream's first event.
-_PATIENCE_MS = 1_700
-_PATIENCE = timedelta(milliseconds=_PATIENCE_MS)
+_POLL_INTERVAL_MS = 25
+_POLL_INTERVAL = timedelta(milliseconds=_POLL_INTERVAL_MS)
+# Callers give up a stream that is silent for two seconds. The rest of that time
+# is left for the network and the first event of the resumed stream.
+_MAX_WAIT_MS = 1_700
+_MAX_WAIT = timedelta(milliseconds=_MAX_WAIT_MS)
 
 
 def await_open_group(
@@ -19,8 +19,9 @@
 ) -> timedelta | None:
     """Wait until a stream's service has an open group, if that is soon enough.
 
-    Sent on at once, a stream that was cut as its group broke is refused by
-    the next rank of that group, and its caller has used up a try.
+    A stream that was interrupted when its group broke would be refused by the
+    next rank of that group if it were retried at once. That would waste one
+    attempt of its caller.
 
     Args:
       tools: What every request needs.
@@ -28,36 +29,37 @@
       journey: The request.
 
     Returns:
-      The time until a group should open, None if one is open; of a plain
-      service always None.
+      None if a group is open, and always for a plain service. Otherwise the
+      time until one should open, if that is too late or the caller has left.
     """
     opens_in = group_opens_in(tools, journey)
-    latest = _latest(journey)
+    deadline = _wait_deadline(journey)
     while opens_in is not None:
         now = tools.clock.elapsed()
-        if now + opens_in > latest or connection.left():
+        if now + opens_in > deadline or connection.left():
             return opens_in
-        threading.Event().wait(_LOOK.total_seconds())
+        threading.Event().wait(_POLL_INTERVAL.total_seconds())
         opens_in = group_opens_in(tools, journey)
     return None
 
 
 def group_opens_in(tools: GatewayTools, journey: Journey) -> timedelta | None:
-    """Return when a request's service should have an open group again.
+    """Return how long it should take until a service has an open group.
 
     Args:
       tools: What every request needs.
       journey: The request.
 
     Returns:
-      The time until then, None if one is open; of a plain service always None.
+      The expected time; None if a group is open, and always for a plain
+      service.
     """
     if journey.service.engine is None:
         return None
     return tools.state.room.opens_in(journey.service.name)
 
 
-def _latest(journey: Journey) -> timedelta:
-    """Return until when the caller may be left without an event."""
-    shown_at = journey.last_event_at or journey.request.received
-    return min(shown_at + _PATIENCE, journey.until)
+def _wait_deadline(journey: Journey) -> timedelta:
+    """Return the monotonic time until which the caller may get no event."""
+    last_sent_at = journey.last_event_at or journey.request.received
+    return min(last_sent_at + _MAX_WAIT, journey.until)
--- a/linnetwind/planned_group.py
+++ b/linnetwind/planned_group.py
@@ -1,11 +1,11 @@
-"""What a planner knows of a service's rank groups."""
+"""The state that a planner keeps for each rank group of a service."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from datetime import timedelta
 
 from linnetwind.expert_demand import ExpertDemand
-from linnetwind.group_looks import SeenRank, held_maps
+from linnetwind.group_looks import ObservedRank, held_maps
 from linnetwind.lives import Life
 from linnetwind.pass_meter import USUAL_SKEW
 from linnetwind.planner_rest import PlannerRest
@@ -15,31 +15,42 @@
 
 Reports = dict[int, RankReport]
 
-# A group of which nobody has answered for this long is no longer planned.
-_FORGOTTEN_S = 30
-GROUP_FORGOTTEN = timedelta(seconds=_FORGOTTEN_S)
+# A group of which no rank replies is discarded this long after it was last
+# complete.
+_GROUP_EXPIRY_S = 30
+GROUP_EXPIRY = timedelta(seconds=_GROUP_EXPIRY_S)
 
 
 @dataclass
 class PlannedGroup:
-    """What the planner knows of one rank group.
-
-    `name` tells it from the other groups of its service. `whole_at` is the
-    monotonic time at which all its ranks were last seen, `stepped_at` that at
-    which its passes were last seen to go on, by the ranks' newest `step`; at
-    `settled_at` a plan found no gain worth a change, at the skew `settled`.
+    """The planner's state of one rank group; all times are monotonic.
+
+    `name` is unique within the service. `ranks` holds the ranks that replied
+    to the last poll and `reports` their newest reports; `incarnations` also
+    covers ranks that did not reply. `whole_at` is the time at which all ranks
+    of the open group last replied. `step` is the newest epoch and step that a
+    rank has reported, and `progressed_at` the time at which it last increased.
+
+    `maps` is the expert map in use, if known, and `maps_version` its epoch and
+    version. `target` is the map that is being rolled out, and `backoff` delays
+    the next one after another planner's map superseded it. At `settled_at` a
+    plan found no gain that was worth a change, at the skew `settled`.
+
+    `unanswered_at` is the time of the last order without a reply. `stage` is
+    the stage of the rollout since `stage_since`. `logged_state` is the epoch
+    that was last logged, and whether the group was complete and open then.
     """
 
     name: str
     links: GroupLinks
     whole_at: timedelta
-    ranks: dict[int, SeenRank] = field(default_factory=dict)
-    lives: dict[int, Life] = field(default_factory=dict)
+    ranks: dict[int, ObservedRank] = field(default_factory=dict)
+    incarnations: dict[int, Life] = field(default_factory=dict)
     demand: ExpertDemand = field(default_factory=ExpertDemand)
     wish: MapWish | None = None
     reports: Reports = field(default_factory=dict)
     maps: RankMaps | None = None
-    maps_of: tuple[int, int] | None = None
+    maps_version: tuple[int, int] | None = None
     unanswered_at: timedelta | None = None
     stage: str = ''
     stage_since: timedelta = timedelta()
@@ -49,12 +60,16 @@
     settled: float = 0
     settled_at: timedelta = timedelta()
     step: tuple[int, int] = (0, 0)
-    stepped_at: timedelta = timedelta()
+    progressed_at: timedelta = timedelta()
 
 
 @dataclass
 class PlannedService:
-    """What the planner knows of a service; `groups` are by their names."""
+    """The planner's state of one service.
+
+    `groups` holds its groups by name, and `counted_at` is the monotonic time at
+    which the token counts were last read.
+    """
 
     links: GroupLinks
     groups: dict[str, PlannedGroup] = field(default_factory=dict)
@@ -62,13 +77,13 @@
 
 
 def needs_experts(service: PlannedService) -> bool:
-    """Return whether the ranks are to be asked which experts they hold.
+    """Return whether the ranks must be queried for the experts they hold.
 
     Args:
       service: The service.
 
     Returns:
-      Whether the map of a group is not known.
+      Whether the map of any group is unknown.
     """
     groups = service.groups.values()
     return not groups or any(each.maps is None for each in groups)
@@ -76,66 +91,70 @@
 
 def take_groups(
     service: PlannedService,
-    seen: Mapping[str, Mapping[int, SeenRank]],
+    observed: Mapping[str, Mapping[int, ObservedRank]],
     now: timedelta,
 ) -> None:
-    """Take in which groups a service has.
+    """Add the new groups of a service and discard those that are gone.
 
     Args:
       service: The service.
-      seen: The ranks of each group that have just answered.
+      observed: The ranks that replied to the last poll, by group.
       now: The monotonic time.
     """
-    for name in seen.keys() - service.groups.keys():
+    for name in observed.keys() - service.groups.keys():
         service.groups[name] = PlannedGroup(name, service.links, now)
     for group in tuple(service.groups.values()):
-        if group.name not in seen and now - group.whole_at > GROUP_FORGOTTEN:
+        if group.name not in observed and now - group.whole_at > GROUP_EXPIRY:
             service.groups.pop(group.name)
 
 
 def take_ranks(
-    group: PlannedGroup, ranks: dict[int, SeenRank], now: timedelta
+    group: PlannedGroup, ranks: dict[int, ObservedRank], now: timedelta
 ) -> None:
-    """Take in what the ranks of a group have said.
+    """Update a group with the replies of its ranks.
 
     Args:
       group: The group.
-      ranks: Those that have just answered.
+      ranks: The ranks that replied to the last poll.
       now: The monotonic time.
     """
     group.ranks = ranks
     group.reports = {rank: each.report for rank, each in ranks.items()}
-    note_lives(group)
+    discard_maps_after_restart(group)
     step = max(
         ((each.epoch, each.step) for each in group.reports.values()),
         default=group.step,
     )
     if step > group.step:
         group.step = step
-        group.stepped_at = now
+        group.progressed_at = now
     if is_whole(group.reports):
         group.whole_at = now
-        take_maps(group, group.reports)
+        update_maps(group, group.reports)
 
 
-def note_lives(group: PlannedGroup) -> None:
-    """Forget the maps of a group of which a rank has started again.
+def discard_maps_after_restart(group: PlannedGroup) -> None:
+    """Discard the maps of a group if one of its ranks has restarted.
 
-    It holds nothing of before, and what is planned from the map of its life
-    before would name copies that are gone. The epoch ends with that life too,
-    but the rank may report before the group has formed anew.
+    A restarted rank holds no experts, and a plan based on the map of its
+    previous incarnation would refer to copies that no longer exist. The epoch
+    also ends with that incarnation, but the rank may report before the group
+    has formed again.
 
     Args:
-      group: The group, whose ranks were just looked at.
+      group: The group, whose `ranks` come from the last poll.
     """
-    lives = {rank: each.life for rank, each in group.ranks.items()}
-    if any(group.lives.get(rank, life) != life for rank, life in lives.items()):
+    incarnations = {rank: each.life for rank, each in group.ranks.items()}
+    if any(
+        group.incarnations.get(rank, life) != life
+        for rank, life in incarnations.items()
+    ):
         forget_maps(group)
-    group.lives.update(lives)
+    group.incarnations.update(incarnations)
 
 
 def forget_maps(group: PlannedGroup) -> None:
-    """Forget the map in use and the one that is wanted.
+    """Discard the map in use and the target map.
 
     Args:
       group: The group.
@@ -146,8 +165,10 @@
     group.settled = 0
 
 
-def take_maps(group: PlannedGroup, reports: Reports) -> None:
-    """Learn which map is in use: from the wish, or from the ranks.
+def update_maps(group: PlannedGroup, reports: Reports) -> None:
+    """Determine which map is in use: the target map or what the ranks hold.
+
+    Nothing changes while the ranks report different versions.
 
     Args:
       group: The group.
@@ -157,10 +178,10 @@
     if len(versions) > 1:
         return
     in_use = (reports[0].epoch, min(versions))
-    if group.maps_of == in_use and group.maps is not None:
+    if group.maps_version == in_use and group.maps is not None:
         return
     if group.wish is not None and group.wish.version == in_use[1]:
         group.maps = group.wish.maps
     else:
         group.maps = held_maps(group.ranks, *in_use)
-    group.maps_of = in_use
+    group.maps_version = in_use
--- a/linnetwind/planner_rest.py
+++ b/linnetwind/planner_rest.py
@@ -1,44 +1,49 @@
-"""How long a planner of expert maps rests after another one overtook it.
+"""Backoff of a planner whose expert map was superseded by another planner's.
 
-Planners that do not hear each other plan for the same group. A rank takes
-only the newest version, so each new map overtakes one that another planner is
-rolling out. Rests drawn at random, and longer each time, part the planners:
-one of them soon has the time of a rollout to itself.
+Planners that cannot reach each other plan for the same group. A rank accepts
+only the newest version, so each new map supersedes the one that another planner
+is rolling out. Random backoffs that grow each time separate the planners: one
+of them soon has enough time for a whole rollout.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-# The longest first rest. A rollout takes half a second, most of it copying;
-# one in two rests is as long.
-_FIRST_REST_MS = 1_000
-FIRST_REST = timedelta(milliseconds=_FIRST_REST_MS)
-# Demand shifts every few seconds; a planner that rested longer would leave a
-# group without maps when the other is gone.
-LONGEST_REST = timedelta(seconds=4)
-_GROWTH = 2
+# The upper bound of the first backoff. A rollout takes half a second, most of
+# it for copying experts, so half of the first backoffs are at least as long.
+_FIRST_BACKOFF_BOUND_MS = 1_000
+FIRST_BACKOFF_BOUND = timedelta(milliseconds=_FIRST_BACKOFF_BOUND_MS)
+# The demand for experts shifts every few seconds. A planner that paused for
+# longer would leave a group without new maps if the other planner stops.
+MAX_BACKOFF_BOUND = timedelta(seconds=4)
+_GROWTH_FACTOR = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerRest:
-    """The monotonic time until which a planner rests, and its longest rest."""
+    """The state of a planner's backoff.
+
+    The planner makes no new map until the monotonic time `until`. `bound` is
+    the upper bound of its next backoff.
+    """
 
     until: timedelta = timedelta()
-    most: timedelta = FIRST_REST
+    bound: timedelta = FIRST_BACKOFF_BOUND
 
 
 def rest_when_overtaken(
-    rest: PlannerRest, now: timedelta, chance: float
+    previous: PlannerRest, now: timedelta, chance: float
 ) -> PlannerRest:
-    """Return the rest of a planner whose map was overtaken.
+    """Back off after the planner's map was superseded.
 
     Args:
-      rest: Its rest before; a new one once a map of its own is in use.
+      previous: The previous backoff; a new one if a map of this planner has
+        been in use since.
       now: The monotonic time.
       chance: A random number from 0 to 1.
 
     Returns:
-      The rest.
+      The new backoff.
     """
-    longer = min(rest.most * _GROWTH, LONGEST_REST)
-    return PlannerRest(now + rest.most * chance, longer)
+    next_bound = min(previous.bound * _GROWTH_FACTOR, MAX_BACKOFF_BOUND)
+    return PlannerRest(now + previous.bound * chance, next_bound)
