--- a/linnetwind/quarantine_keeper.py
+++ b/linnetwind/quarantine_keeper.py
@@ -87,7 +87,7 @@
         self._clock = clock
         self._log = log
         self._unavailable_since: timedelta | None = None
-        self._has_read = False
+        self._has_restored = False
         self._queue: queue.SimpleQueue[Fingerprint] = queue.SimpleQueue()
         # Retried before anything else until the store has confirmed it.
         self._unwritten: Fingerprint | None = None
@@ -97,7 +97,7 @@
     @property
     def has_read(self) -> bool:
         """Return whether the stored quarantines have been restored."""
-        return self._has_read
+        return self._has_restored
 
     def keep(self, request: Fingerprint) -> None:
         """Queue a request to be written to the store.
@@ -116,7 +116,7 @@
         Returns:
           How long to wait before the next round.
         """
-        if not self._has_read:
+        if not self._has_restored:
             return self._restore()
         self._requeue_lost()
         if self._unwritten is None:
@@ -149,7 +149,7 @@
         self._record_recovery()
         for record in found.records:
             self._restore_record(record)
-        self._has_read = True
+        self._has_restored = True
         self._known_era = found.era
         return timedelta()
 
