--- a/linnetwind/crash_guard.py
+++ b/linnetwind/crash_guard.py
@@ -13,12 +13,12 @@
 _FIRST_REDIRECT = 300
 
 
-def quarantine_left(tools: GatewayTools, journey: Journey) -> timedelta | None:
+def quarantine_left(tools: GatewayTools, context: Journey) -> timedelta | None:
     """Return how long a request must not be sent to any upstream.
 
     Args:
       tools: What every request needs.
-      journey: The request.
+      context: The request.
 
     Returns:
       The remaining time, None if it may be sent.
@@ -26,12 +26,12 @@
     crashes = tools.state.books.crashes
     if not crashes.has_crashes:
         return None
-    return crashes.quarantine(journey.fingerprint)
+    return crashes.quarantine(context.fingerprint)
 
 
 def note_if_crashed(
     tools: GatewayTools,
-    journey: Journey,
+    context: Journey,
     upstream: Upstream,
     broken: Broken,
     began: timedelta,
@@ -46,7 +46,7 @@
 
     Args:
       tools: What every request needs.
-      journey: The request.
+      context: The request.
       upstream: The upstream that was running it.
       broken: How the call failed.
       began: The monotonic time at which the request was sent there.
@@ -59,7 +59,7 @@
     if not isinstance(probe, NotReached):
         probe.close()
         return
-    request = journey.fingerprint
+    request = context.fingerprint
     crashes = tools.state.books.crashes
     of_group = record_rank_crash(tools.state, upstream, tools.clock.elapsed())
     remaining = crashes.note(request, upstream.life, began, of_group=of_group)
@@ -69,7 +69,7 @@
     tools.state.note_miss(upstream)
     tools.log.event(
         UpstreamCrashed(
-            journey.facts.call_id,
+            context.facts.call_id,
             request,
             upstream.life,
             broken.problem,
@@ -80,15 +80,15 @@
 
 
 def note_whole_answer(
-    tools: GatewayTools, journey: Journey, done: Done
+    tools: GatewayTools, context: Journey, done: Done
 ) -> None:
     """Record that an upstream has answered a request completely.
 
     Args:
       tools: What every request needs.
-      journey: The request.
+      context: The request.
       done: How it ended; only a successful status is recorded.
     """
     success = _FIRST_SUCCESS <= done.status < _FIRST_REDIRECT
     if success:
-        tools.state.books.crashes.record_answer(journey.fingerprint)
+        tools.state.books.crashes.record_answer(context.fingerprint)
--- a/linnetwind/crash_guard_test.py
+++ b/linnetwind/crash_guard_test.py
@@ -42,11 +42,11 @@
         tell_peers=lambda: None,
         keep_quarantine=lambda _request: None,
     )
-    journey = SimpleNamespace(
+    context = SimpleNamespace(
         until=clock.elapsed() + time_left,
         fingerprint='print',
         facts=SimpleNamespace(call_id='call'),
     )
-    note_if_crashed(tools, journey, make_upstream('a'), BROKEN, clock.elapsed())
+    note_if_crashed(tools, context, make_upstream('a'), BROKEN, clock.elapsed())
     assert log.of(UpstreamCrashed) == []
     assert not state.books.crashes.has_crashes
--- a/linnetwind/group_wait.py
+++ b/linnetwind/group_wait.py
@@ -15,7 +15,7 @@
 
 
 def await_open_group(
-    tools: GatewayTools, connection: CallerConnection, journey: Journey
+    tools: GatewayTools, connection: CallerConnection, context: Journey
 ) -> timedelta | None:
     """Wait until a stream's service has an open group, if that is soon enough.
 
@@ -26,40 +26,40 @@
     Args:
       tools: What every request needs.
       connection: The caller's connection.
-      journey: The request.
+      context: The request.
 
     Returns:
       None if a group is open, and always for a plain service. Otherwise the
       time until one should open, if that is too late or the caller has left.
     """
-    opens_in = group_opens_in(tools, journey)
-    deadline = _wait_deadline(journey)
+    opens_in = group_opens_in(tools, context)
+    deadline = _wait_deadline(context)
     while opens_in is not None:
         now = tools.clock.elapsed()
         if now + opens_in > deadline or connection.left():
             return opens_in
         threading.Event().wait(_POLL_INTERVAL.total_seconds())
-        opens_in = group_opens_in(tools, journey)
+        opens_in = group_opens_in(tools, context)
     return None
 
 
-def group_opens_in(tools: GatewayTools, journey: Journey) -> timedelta | None:
+def group_opens_in(tools: GatewayTools, context: Journey) -> timedelta | None:
     """Return how long it should take until a service has an open group.
 
     Args:
       tools: What every request needs.
-      journey: The request.
+      context: The request.
 
     Returns:
       The expected time; None if a group is open, and always for a plain
       service.
     """
-    if journey.service.engine is None:
+    if context.service.engine is None:
         return None
-    return tools.state.room.opens_in(journey.service.name)
+    return tools.state.room.opens_in(context.service.name)
 
 
-def _wait_deadline(journey: Journey) -> timedelta:
+def _wait_deadline(context: Journey) -> timedelta:
     """Return the monotonic time until which the caller may get no event."""
-    last_sent_at = journey.last_event_at or journey.request.received
-    return min(last_sent_at + _MAX_WAIT, journey.until)
+    last_sent_at = context.last_event_at or context.request.received
+    return min(last_sent_at + _MAX_WAIT, context.until)
