--- a/linnetwind/mapcoordinator.py
+++ b/linnetwind/mapcoordinator.py
@@ -1,8 +1,8 @@
 """The coordinator of an expert-map switch, as a pure state machine.
 
-It only gathers what the ranks' sides have prepared and asks them to arm.
-Should it die, or be one of two, the sides settle what it began among
-themselves; see `mapswitch`.
+It collects the replies of the ranks that have loaded the map and then
+requests them to arm. If it dies, or if there are two coordinators, the
+side daemons decide the attempt among themselves; see `mapswitch`.
 """
 
 from dataclasses import dataclass, replace
@@ -20,7 +20,12 @@
 
 @dataclass(frozen=True)
 class Coordination:
-    """One attempt under way; `lead` is the steps from now to the switch."""
+    """One attempt in progress.
+
+    `size` is the number of ranks. `lead` is the number of steps between the
+    furthest rank's step and the switch. `prepared` holds the replies so far,
+    `armed` whether the request to arm has been sent.
+    """
 
     attempt: Attempt
     map_id: str
@@ -31,31 +36,33 @@
 
 
 def begin(coordination: Coordination) -> tuple[Send, ...]:
-    """Ask all ranks to load the map; repeated until all have answered.
+    """Request the ranks that have not replied yet to load the map.
+
+    The caller repeats this until all ranks have replied.
 
     Args:
       coordination: The attempt.
 
     Returns:
-      A note for each rank that has not answered.
+      A note for each rank that has not replied.
     """
-    answered = {each.rank for each in coordination.prepared}
+    replied = {each.rank for each in coordination.prepared}
     note = Prepare(coordination.attempt, coordination.map_id)
     return tuple(
         Send(rank, note)
         for rank in range(coordination.size)
-        if rank not in answered
+        if rank not in replied
     )
 
 
 def take_prepared(
     coordination: Coordination, note: Prepared
 ) -> tuple[Coordination, tuple[Send, ...]]:
-    """Take a rank's answer; arm all ranks once the last one is in.
+    """Record a rank's reply; arm all ranks once the last one has replied.
 
     Args:
       coordination: The attempt before.
-      note: The answer.
+      note: The reply.
 
     Returns:
       The attempt after, and the notes to send.
@@ -68,10 +75,10 @@
     coordination = replace(coordination, prepared=(*others, note))
     if len(coordination.prepared) < coordination.size:
         return coordination, ()
-    step = _switch_step(coordination)
+    step = _choose_switch_step(coordination)
     if step is None:
-        # A restarted rank has yet to join; all are asked again, since by
-        # then the others may have restarted too.
+        # A restarted rank has yet to join. All ranks are requested again,
+        # since the others may have restarted by then as well.
         return replace(coordination, prepared=()), ()
     arm = Arm(
         Arming(coordination.attempt, step, coordination.map_id),
@@ -81,16 +88,16 @@
     return replace(coordination, armed=True), notes
 
 
-def _switch_step(coordination: Coordination) -> int | None:
-    new = [each.is_new for each in coordination.prepared]
-    if all(new):
+def _choose_switch_step(coordination: Coordination) -> int | None:
+    new_ranks = [each.is_new for each in coordination.prepared]
+    if all(new_ranks):
         return 0
-    if any(new):
+    if any(new_ranks):
         return None
     latest = max(each.step for each in coordination.prepared)
     return latest + coordination.lead
 
 
 def _members(coordination: Coordination) -> tuple[Member, ...]:
-    in_order = sorted(coordination.prepared, key=lambda each: each.rank)
-    return tuple(Member(each.generation, each.incarnation) for each in in_order)
+    by_rank = sorted(coordination.prepared, key=lambda each: each.rank)
+    return tuple(Member(each.generation, each.incarnation) for each in by_rank)
--- a/linnetwind/mapswitch.py
+++ b/linnetwind/mapswitch.py
@@ -1,37 +1,38 @@
-"""Switching the expert map of a group, as seen by one rank's side daemon.
-
-The ranks of a group advance in lock-step, so no rank completes a step
-without all the others. The switch rests on that. A rank is armed for a step:
-from that step on it uses the new map if the switch has been confirmed by
-then, and otherwise it waits before that step, and the group with it. The
-switch is confirmed once all ranks were seen armed. Unanimity is the whole
-decision: it needs neither the log nor the coordinator once the ranks are
-armed, and a rank that has not been armed and says so ends the attempt.
-
-What a rank is armed for is kept by its engine, so a side daemon may be
-restarted at any time. A restarted rank has lost it; it asks all its peers
-and takes over whatever attempt any of them is armed for. See docs/DESIGN.md
-for the argument and `mapswitch_test` for the exploration.
+"""Atomic switch of a group to a new expert map, as seen by one side daemon.
+
+The protocol relies on the ranks of a group advancing in lock-step: no rank
+completes a step without all the others. A rank is armed for a step. When it
+reaches that step, it uses the new map if the switch has been confirmed by
+then; otherwise it waits before the step, and so does the whole group. The
+switch is confirmed once every rank has been seen armed. This unanimous vote
+is the entire decision. Once the ranks are armed it needs neither the log nor
+the coordinator, and a single rank that is not armed and says so aborts the
+attempt.
+
+The engine stores what its rank is armed for, so a side daemon may restart at
+any time. A restarted rank loses that state: it queries all its peers and
+adopts the attempt that any of them is armed for. See docs/DESIGN.md for the
+proof and `mapswitch_test` for the state-space exploration.
 """
 
 from dataclasses import replace
 
 from linnetwind.mapswitch_join import (
-    answer_join_query,
-    group_is_new,
-    take_join_reply,
+    apply_join_reply,
+    peers_are_new,
+    reply_to_join_query,
 )
 from linnetwind.mapswitch_side import (
-    Handled,
     Participant,
+    Transition,
     confirm_if_armed,
     engine_armed_for,
     has_switched,
-    known_status,
-    latest,
-    refuse,
+    is_armed_or_switched,
+    latest_attempts,
+    record_refusal,
+    require_status,
     send_to_peers,
-    stands_for,
 )
 from linnetwind.mapswitch_types import (
     Action,
@@ -57,90 +58,94 @@
 )
 
 
-def handle_note(side: Participant, note: Note) -> Handled:
-    """Take a note from another rank's side.
+def handle_note(side: Participant, note: Note) -> Transition:
+    """Process a note from another rank's side daemon.
 
     Args:
       side: The participant before.
-      note: The note; it may be late or a repetition.
+      note: The note; it may be late or a duplicate.
 
     Returns:
-      The participant after, and what to do.
+      The participant after, and the actions to perform.
     """
-    # Until the engine has said what it is armed for, every answer could be
-    # wrong: a former incarnation of this side may have voted.
+    # Until the engine has reported what it is armed for, any reply could be
+    # wrong: a former incarnation of this side daemon may have voted.
     if side.status is None:
         return side, ()
     match note:
         case Prepare():
-            return _prepare(side, note)
+            return _handle_prepare(side, note)
         case Arm(arming, members):
-            return _arm(side, arming, members)
+            return _handle_arm(side, arming, members)
         case Vote():
-            return _vote(side, note)
+            return _handle_vote(side, note)
         case Confirm(attempt):
             return side, confirm_if_armed(side, attempt)
         case Query():
-            return _query(side, note)
+            return _handle_query(side, note)
         case JoinQuery(rank, generation):
-            return answer_join_query(side, rank, generation)
+            return reply_to_join_query(side, rank, generation)
         case JoinReply():
-            return take_join_reply(side, note)
+            return apply_join_reply(side, note)
         case Prepared():
             return side, ()
 
 
-def handle_status(side: Participant, status: RankStatus) -> Handled:
-    """Take the engine's latest status; also called at intervals.
+def handle_status(side: Participant, status: RankStatus) -> Transition:
+    """Process the engine's latest status.
+
+    Called at short intervals, so it also resends notes and orders that may
+    have been lost.
 
     Args:
       side: The participant before.
-      status: What the engine says.
+      status: The status that the engine reports.
 
     Returns:
-      The participant after, and what to do.
+      The participant after, and the actions to perform.
     """
     before = side.status
     side = replace(side, status=status)
     if before is not None and before.generation != status.generation:
-        side = replace(side, pledged=None, replies=())
-    # What the engine was armed for before this side looked, or was started
-    # with, may have been voted for already; it is taken over.
+        side = replace(side, pending=None, replies=())
+    # An attempt that the engine was armed for before the first status, or
+    # was started with, may already have this rank's vote, so it is adopted.
     adopted = (
         before is None
         or before.generation != status.generation
         or before.is_new
     )
-    side = _drop_missed_pledge(side)
-    actions = _repeat_pledge(side)
+    side = _refuse_missed_arming(side)
+    actions = _resend_pending_arming(side)
     if status.armed is not None:
-        side, actions = _look_at_arming(side, status, adopted=adopted)
+        side, actions = _check_arming(side, status, adopted=adopted)
     if status.is_new:
         query = JoinQuery(side.rank, status.generation)
         actions = (*actions, *send_to_peers(side, query))
-    side, prepared = _report_prepared(side)
+    side, prepared = _reply_when_staged(side)
     return side, (*actions, *prepared)
 
 
-def _repeat_pledge(side: Participant) -> tuple[Action, ...]:
-    # An order that was lost on the way leaves the rank unarmed and its
-    # peers waiting for it; the engine takes the repetition for the same.
-    pledged, status = side.pledged, side.status
-    if pledged is None or status is None or status.armed is not None:
+def _resend_pending_arming(side: Participant) -> tuple[Action, ...]:
+    # A lost order would leave the rank unarmed and its peers waiting for it.
+    # The engine treats a repeated order as the same one.
+    pending, status = side.pending, side.status
+    if pending is None or status is None or status.armed is not None:
         return ()
-    return (OrderArm(status.generation, pledged),)
+    return (OrderArm(status.generation, pending),)
 
 
-def _prepare(side: Participant, note: Prepare) -> Handled:
+def _handle_prepare(side: Participant, note: Prepare) -> Transition:
     if note.attempt.epoch < side.epoch:
-        # A coordinator that was replaced while it was paused.
+        # The note comes from a coordinator that was replaced while it was
+        # suspended.
         return side, ()
     side = replace(side, epoch=note.attempt.epoch, preparing=note)
-    side, actions = _report_prepared(side)
+    side, actions = _reply_when_staged(side)
     return side, actions or (OrderStage(note.map_id),)
 
 
-def _report_prepared(side: Participant) -> Handled:
+def _reply_when_staged(side: Participant) -> Transition:
     status, note = side.status, side.preparing
     if status is None or note is None or note.map_id not in status.staged:
         return side, ()
@@ -156,68 +161,72 @@
     return done, (Send(note.attempt.coordinator, prepared),)
 
 
-def _arm(
+def _handle_arm(
     side: Participant, arming: Arming, members: tuple[Member, ...]
-) -> Handled:
+) -> Transition:
     attempt = arming.attempt
-    if _holds(side, attempt):
+    if _already_accepted(side, attempt):
         return side, ()
     if side.status is not None and side.status.is_new:
-        # A restarted rank may have voted before, so it must not refuse; it
-        # joins its group first. Only in a group that is new as a whole is
-        # it armed at step 0; a late arming from that time must not start
-        # it apart from a group that has gone on.
-        if arming.step > 0 or not group_is_new(side):
+        # A restarted rank may have voted before the restart, so it must not
+        # refuse; it joins its group first. It is armed directly, at step 0,
+        # only if the whole group is new. A late arming from the group's own
+        # start must not start the rank apart from a group that has advanced
+        # since.
+        if arming.step > 0 or not peers_are_new(side):
             return side, ()
-    if not _may_arm(side, arming, members):
-        return refuse(side, attempt), ()
+    if not _can_accept(side, arming, members):
+        return record_refusal(side, attempt), ()
     order = OrderArm(members[side.rank].generation, arming)
-    return replace(side, pledged=arming), (order,)
+    return replace(side, pending=arming), (order,)
 
 
-def _holds(side: Participant, attempt: Attempt) -> bool:
-    # A late arming of an attempt that has already taken effect here must
-    # not be taken for a new one and refused.
+def _already_accepted(side: Participant, attempt: Attempt) -> bool:
+    # A late arming of an attempt that has already taken effect on this rank
+    # must not be treated as a new attempt and refused.
     armed = side.armed is not None and side.armed.attempt == attempt
     return armed or has_switched(side, attempt)
 
 
-def _may_arm(
+def _can_accept(
     side: Participant, arming: Arming, members: tuple[Member, ...]
 ) -> bool:
-    status = known_status(side)
+    status = require_status(side)
     if side.armed is not None or arming.attempt in side.refused:
         return False
     # A former incarnation of this side may have refused the attempt, or
     # another generation of the rank may have voted for it.
     if members[side.rank] != Member(status.generation, side.incarnation):
         return False
-    # A peer that was restarted after it had prepared has joined on the word
-    # that this rank is not armed; it must not be armed afterwards.
+    # A peer that restarted after it had prepared joined the group on this
+    # rank's reply that it is not armed. The rank must not be armed after it.
     return all(
-        member.generation >= known
-        for member, known in zip(members, side.generations, strict=True)
+        member.generation >= known_generation
+        for member, known_generation in zip(
+            members, side.generations, strict=True
+        )
     )
 
 
-def _vote(side: Participant, vote: Vote) -> Handled:
+def _handle_vote(side: Participant, vote: Vote) -> Transition:
     attempt = vote.attempt
-    # A verdict of a rank that was restarted since, or one that a former
-    # incarnation of this side asked for, may have been overtaken: the
-    # restarted rank has taken over what its peers were armed for.
-    overtaken = vote.generation < side.generations[vote.rank]
-    if overtaken or vote.asked_by != side.incarnation:
+    # A verdict from before a restart of the voting rank, or one requested by
+    # a former incarnation of this side daemon, may be superseded: a restarted
+    # rank adopts what its peers are armed for.
+    superseded = vote.generation < side.generations[vote.rank]
+    if superseded or vote.query_incarnation != side.incarnation:
         return side, ()
     if vote.verdict is Verdict.REFUSED:
-        side = refuse(side, attempt)
+        side = record_refusal(side, attempt)
         if engine_armed_for(side, attempt):
             return side, (OrderDisarm(attempt),)
         return side, ()
     cast = (attempt, vote.rank, vote.generation)
-    # Only the attempt that the rank is armed for can still be decided.
-    same = {each for each in side.votes if each[0] == attempt}
-    side = replace(side, votes=frozenset(same | {cast}))
-    if not _unanimous(side, attempt):
+    # Votes for other attempts are dropped: only the attempt that the rank is
+    # armed for can still be decided.
+    recorded = {each for each in side.votes if each[0] == attempt}
+    side = replace(side, votes=frozenset(recorded | {cast}))
+    if not _is_unanimous(side, attempt):
         return side, ()
     return side, (
         *send_to_peers(side, Confirm(attempt)),
@@ -225,8 +234,8 @@
     )
 
 
-def _unanimous(side: Participant, attempt: Attempt) -> bool:
-    if attempt in side.refused or not stands_for(side, attempt):
+def _is_unanimous(side: Participant, attempt: Attempt) -> bool:
+    if attempt in side.refused or not is_armed_or_switched(side, attempt):
         return False
     voted = {
         rank
@@ -236,27 +245,27 @@
     return voted >= set(range(side.size)) - {side.rank}
 
 
-def _query(side: Participant, query: Query) -> Handled:
+def _handle_query(side: Participant, query: Query) -> Transition:
     attempt = query.attempt
-    # A refusal stands even while the engine is still armed, or again armed
-    # by a late order: it has been told, and the order to disarm follows.
+    # A refusal is final even if the engine is still armed, or is armed again
+    # by a late order: peers may rely on it, and an order to disarm follows.
     refused = attempt in side.refused
-    if not refused and stands_for(side, attempt):
-        return side, (_verdict(side, query, Verdict.ARMED),)
-    if side.pledged is not None and side.pledged.attempt == attempt:
-        # The order is on its way to the engine; the waiting rank will ask
-        # again.
+    if not refused and is_armed_or_switched(side, attempt):
+        return side, (_make_vote(side, query, Verdict.ARMED),)
+    if side.pending is not None and side.pending.attempt == attempt:
+        # The order to arm is still on its way to the engine. The waiting
+        # rank repeats its query.
         return side, ()
     if side.status is not None and side.status.is_new:
-        # A restarted rank has forgotten its vote. It must not say no: it
-        # joins first and takes over what its peers are armed for.
+        # A restarted rank does not know how it voted before, so it must not
+        # refuse. It joins first and adopts what its peers are armed for.
         return side, ()
-    side = refuse(side, attempt)
-    return side, (_verdict(side, query, Verdict.REFUSED),)
+    side = record_refusal(side, attempt)
+    return side, (_make_vote(side, query, Verdict.REFUSED),)
 
 
-def _verdict(side: Participant, query: Query, verdict: Verdict) -> Send:
-    status = known_status(side)
+def _make_vote(side: Participant, query: Query, verdict: Verdict) -> Send:
+    status = require_status(side)
     vote = Vote(
         query.attempt,
         side.rank,
@@ -267,40 +276,42 @@
     return Send(query.rank, vote)
 
 
-def _look_at_arming(
+def _check_arming(
     side: Participant, status: RankStatus, *, adopted: bool
-) -> Handled:
+) -> Transition:
     assert status.armed is not None
     attempt = status.armed.attempt
-    pledged = side.pledged is not None and side.pledged.attempt == attempt
-    known = pledged or adopted or attempt in side.adopted
-    if not known:
-        # An order of a former incarnation of this side came late, after
-        # this one may have said that the rank is not armed.
-        side = refuse(side, attempt)
-    if pledged:
-        side = replace(side, pledged=None)
+    pending = side.pending is not None and side.pending.attempt == attempt
+    is_known = pending or adopted or attempt in side.adopted
+    if not is_known:
+        # The engine was armed by a late order from a former incarnation of
+        # this side daemon. The present one may already have replied that the
+        # rank is not armed.
+        side = record_refusal(side, attempt)
+    if pending:
+        side = replace(side, pending=None)
     if attempt in side.refused:
         return side, (OrderDisarm(attempt),)
-    side = replace(side, adopted=latest(side.adopted | {attempt}))
+    side = replace(side, adopted=latest_attempts(side.adopted | {attempt}))
     if status.confirmed:
         return side, ()
-    if _unanimous(side, attempt):
+    if _is_unanimous(side, attempt):
         confirm = send_to_peers(side, Confirm(attempt))
         return side, (*confirm, OrderConfirm(attempt))
-    asks = attempt.coordinator == side.rank or status.holding
-    if not asks:
+    should_query = attempt.coordinator == side.rank or status.holding
+    if not should_query:
         return side, ()
     query = Query(attempt, side.rank, side.incarnation)
     return side, send_to_peers(side, query)
 
 
-def _drop_missed_pledge(side: Participant) -> Participant:
-    pledged, status = side.pledged, side.status
-    if pledged is None or status is None or status.armed is not None:
+def _refuse_missed_arming(side: Participant) -> Participant:
+    pending, status = side.pending, side.status
+    if pending is None or status is None or status.armed is not None:
         return side
-    passed = status.step > pledged.step
-    if passed or (status.entered and status.step == pledged.step):
-        # The order reached the engine after its step and was refused.
-        return refuse(replace(side, pledged=None), pledged.attempt)
+    passed = status.step > pending.step
+    if passed or (status.entered and status.step == pending.step):
+        # The order reached the engine after its step, so the engine refused
+        # it.
+        return record_refusal(replace(side, pending=None), pending.attempt)
     return side
--- a/linnetwind/mapswitch_join.py
+++ b/linnetwind/mapswitch_join.py
@@ -1,12 +1,13 @@
-"""How a restarted rank joins its group again.
+"""How a restarted rank rejoins its group.
 
-A restarted rank has lost what it was armed for, so it asks all its peers and
-starts where the furthest of them is, armed for whatever any of them is.
+A restarted rank has lost what it was armed for. It therefore queries all its
+peers and starts at the step of the furthest one, armed for the attempt that
+any of them is armed for.
 """
 
 from dataclasses import replace
 
-from linnetwind.mapswitch_side import Handled, Participant, known_status
+from linnetwind.mapswitch_side import Participant, Transition, require_status
 from linnetwind.mapswitch_types import (
     Action,
     Arming,
@@ -16,26 +17,28 @@
 )
 
 
-def group_is_new(side: Participant) -> bool:
-    """Return whether all peers have said that they are new as well."""
+def peers_are_new(side: Participant) -> bool:
+    """Return whether all peers have replied that they are new as well."""
     replied = {reply.rank for reply in side.replies}
     return len(replied) == side.size - 1 and all(
         reply.map_id is None for reply in side.replies
     )
 
 
-def answer_join_query(side: Participant, rank: int, generation: int) -> Handled:
-    """Tell a restarted rank where the group is.
+def reply_to_join_query(
+    side: Participant, rank: int, generation: int
+) -> Transition:
+    """Reply to a restarted rank with this rank's step, map and arming.
 
     Args:
       side: The participant before.
-      rank: The rank that asks.
-      generation: Its generation since the restart.
+      rank: The rank that sent the query.
+      generation: The generation of that rank since its restart.
 
     Returns:
       The participant after, and the reply.
     """
-    status = known_status(side)
+    status = require_status(side)
     generations = list(side.generations)
     generations[rank] = max(generations[rank], generation)
     side = replace(side, generations=tuple(generations))
@@ -50,15 +53,15 @@
     return side, (Send(rank, reply),)
 
 
-def take_join_reply(side: Participant, reply: JoinReply) -> Handled:
-    """Take a peer's reply after a restart; start when all have replied.
+def apply_join_reply(side: Participant, reply: JoinReply) -> Transition:
+    """Store a peer's reply; start the rank once all peers have replied.
 
     Args:
       side: The participant before.
       reply: The reply.
 
     Returns:
-      The participant after, and the order to start, if it is time.
+      The participant after, and the order to start if all have replied.
     """
     status = side.status
     if status is None or not status.is_new:
@@ -76,13 +79,14 @@
     running = [each for each in side.replies if each.map_id is not None]
     armed = [each.armed for each in side.replies if each.armed is not None]
     if not running and not armed:
-        # All ranks are new: the group starts by an attempt at step 0.
+        # All ranks are new: an attempt at step 0 starts the group.
         return ()
     if not running:
         return (OrderStart(generation, 0, None, armed[0], None),)
-    # Of peers that wait at one step some may have switched already; the map
-    # of a rank that is no longer armed for that step is the decided one.
-    furthest = max(running, key=_progress)
+    # Some of the peers at the same step may have switched already. The map of
+    # a rank that is no longer armed for that step is the decided one, so
+    # `_progress_key` ranks it above peers that still wait.
+    furthest = max(running, key=_progress_key)
     pending = [each for each in armed if _is_pending(each, furthest)]
     arming = pending[0] if pending else None
     return (
@@ -96,7 +100,7 @@
     )
 
 
-def _progress(reply: JoinReply) -> tuple[int, bool]:
+def _progress_key(reply: JoinReply) -> tuple[int, bool]:
     waits = reply.armed is not None and reply.armed.step <= reply.step
     return reply.step, not waits
 
@@ -104,4 +108,4 @@
 def _is_pending(arming: Arming, furthest: JoinReply) -> bool:
     if arming.step > furthest.step:
         return True
-    return arming.step == furthest.step and not _progress(furthest)[1]
+    return arming.step == furthest.step and not _progress_key(furthest)[1]
--- a/linnetwind/mapswitch_side.py
+++ b/linnetwind/mapswitch_side.py
@@ -1,6 +1,7 @@
-"""One rank's side daemon in a switch of maps: what it knows.
+"""State of one rank's side daemon in an expert-map switch.
 
-Everything here is lost when the side restarts; `mapswitch` decides with it.
+The state is kept in memory only and is lost when the side daemon restarts.
+`mapswitch` makes the decisions that are based on it.
 """
 
 from dataclasses import dataclass, replace
@@ -20,7 +21,19 @@
 
 @dataclass(frozen=True)
 class Participant:
-    """One rank's side: everything here is lost when it restarts."""
+    """The volatile state of one rank's side daemon.
+
+    `incarnation` identifies this run of the side daemon. `epoch` is the
+    highest fencing number of a coordinator seen so far, and `status` the
+    engine's last status, None before the first one. `preparing` is the
+    request to load a map that has not been answered yet. `pending` is an
+    arming that was ordered but does not show in the engine's status yet.
+    `refused` are attempts that the rank will never be armed for, `adopted`
+    attempts that its engine was seen armed for. `votes` holds the attempt,
+    rank and generation of each vote for arming. `generations` is the highest
+    known generation of each rank, and `replies` are the peers' replies to
+    this rank's `JoinQuery` after a restart.
+    """
 
     rank: int
     size: int
@@ -28,7 +41,7 @@
     epoch: int = 0
     status: RankStatus | None = None
     preparing: Prepare | None = None
-    pledged: Arming | None = None
+    pending: Arming | None = None
     refused: frozenset[Attempt] = frozenset()
     adopted: frozenset[Attempt] = frozenset()
     votes: frozenset[tuple[Attempt, int, int]] = frozenset()
@@ -37,36 +50,37 @@
 
     @property
     def armed(self) -> Arming | None:
-        """Return what the rank is armed for or is about to be."""
-        if self.pledged is not None:
-            return self.pledged
+        """Return the arming that is in force or has been ordered."""
+        if self.pending is not None:
+            return self.pending
         return self.status.armed if self.status else None
 
 
-# The attempts that a side remembers having refused or taken over.
-REMEMBERED = 64
+# How many refused and how many adopted attempts a side daemon remembers, so
+# that its memory does not grow with every rebalancing of the group.
+MAX_REMEMBERED_ATTEMPTS = 64
 
-Handled = tuple[Participant, tuple[Action, ...]]
+Transition = tuple[Participant, tuple[Action, ...]]
 
 
 def make_participant(rank: int, size: int, incarnation: int) -> Participant:
-    """Build the side of one rank after a start or restart.
+    """Build the state of a side daemon after a start or restart.
 
     Args:
       rank: The rank's number from 0.
       size: The number of ranks in the group.
-      incarnation: Differs after each restart.
+      incarnation: A number that differs after each restart.
 
     Returns:
-      The participant, which knows nothing yet.
+      The participant, without any status, votes or replies.
     """
     return Participant(rank, size, incarnation, generations=(0,) * size)
 
 
-def known_status(side: Participant) -> RankStatus:
-    """Return the engine's status, once it has answered.
+def require_status(side: Participant) -> RankStatus:
+    """Return the engine's status, which must have been read before.
 
-    Notes are only handled after that; see `handle_note`.
+    `handle_note` drops all notes that arrive before the first status.
 
     Args:
       side: The participant.
@@ -78,24 +92,24 @@
     return side.status
 
 
-def refuse(side: Participant, attempt: Attempt) -> Participant:
-    """Return the participant after it has refused an attempt.
+def record_refusal(side: Participant, attempt: Attempt) -> Participant:
+    """Record that the rank refuses an attempt.
 
     Args:
       side: The participant before.
       attempt: The attempt.
 
     Returns:
-      The participant; it will never be armed for the attempt.
+      The participant after; it will never be armed for the attempt.
     """
-    return replace(side, refused=latest(side.refused | {attempt}))
+    return replace(side, refused=latest_attempts(side.refused | {attempt}))
 
 
-def latest(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
-    """Return the attempts that are still worth remembering.
+def latest_attempts(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
+    """Return the latest `MAX_REMEMBERED_ATTEMPTS` attempts.
 
-    The step of an attempt that so many have followed has long passed, so no
-    rank can be armed for it any more.
+    Older ones may be dropped: the step of an attempt that so many others
+    have followed has long passed, so no rank can be armed for it any more.
 
     Args:
       attempts: All attempts.
@@ -103,7 +117,7 @@
     Returns:
       The latest of them.
     """
-    return frozenset(sorted(attempts)[-REMEMBERED:])
+    return frozenset(sorted(attempts)[-MAX_REMEMBERED_ATTEMPTS:])
 
 
 def confirm_if_armed(side: Participant, attempt: Attempt) -> tuple[Action, ...]:
@@ -114,7 +128,7 @@
       attempt: The attempt.
 
     Returns:
-      The order, or nothing.
+      The order, or an empty tuple.
     """
     if engine_armed_for(side, attempt):
         return (OrderConfirm(attempt),)
@@ -122,30 +136,30 @@
 
 
 def engine_armed_for(side: Participant, attempt: Attempt) -> bool:
-    """Return whether the engine says that it is armed for an attempt."""
+    """Return whether the engine reports being armed for an attempt."""
     armed = side.status.armed if side.status else None
     return armed is not None and armed.attempt == attempt
 
 
-def stands_for(side: Participant, attempt: Attempt) -> bool:
-    """Return whether the rank is armed for an attempt or has switched by it."""
+def is_armed_or_switched(side: Participant, attempt: Attempt) -> bool:
+    """Return whether the rank is armed for an attempt or has completed it."""
     return engine_armed_for(side, attempt) or has_switched(side, attempt)
 
 
 def has_switched(side: Participant, attempt: Attempt) -> bool:
-    """Return whether the rank has switched its map by an attempt."""
+    """Return whether an attempt was the last to switch the rank's map."""
     return side.status is not None and side.status.switched == attempt
 
 
 def send_to_peers(side: Participant, note: Any) -> tuple[Send, ...]:
-    """Return the sending of a note to all other ranks.
+    """Return the actions that send a note to all other ranks.
 
     Args:
       side: The participant.
       note: The note.
 
     Returns:
-      One action a rank.
+      One action for each other rank.
     """
     return tuple(
         Send(rank, note) for rank in range(side.size) if rank != side.rank
--- a/linnetwind/mapswitch_types.py
+++ b/linnetwind/mapswitch_types.py
@@ -1,8 +1,8 @@
 """The notes, orders and statuses of the expert-map switch.
 
-Notes go between the sides of a group's ranks, orders from a side to its
-engine. Both may be lost, late or repeated; `mapswitch` says why that does
-no harm.
+The side daemons of a group's ranks exchange notes; each side daemon sends
+orders to its own engine. Both may be lost, late or duplicated; `mapswitch`
+explains why that is safe.
 """
 
 import enum
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Attempt:
-    """One try to switch; `epoch` is the coordinator's fencing number."""
+    """Identifies one attempt to switch the group to a map.
+
+    `epoch` is the coordinator's fencing number, `number` counts its attempts,
+    and `coordinator` is the rank whose side daemon coordinates.
+    """
 
     epoch: int
     number: int
@@ -31,12 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RankStatus:
-    """What an engine says of its rank.
+    """The status of a rank as its engine reports it.
 
     `generation` grows with each restart of the rank. `step` is the next or
-    current step, `entered` whether the rank is in it. `map_id` is None
-    until the rank has been started. `switched` is the last attempt that
-    took effect.
+    current step, and `entered` tells whether the rank is in it. `map_id` is
+    None until the rank has been started. `armed` is the arming in force,
+    `confirmed` whether it may take effect. `switched` is the last attempt
+    that took effect. `staged` are the maps whose experts are loaded.
     """
 
     generation: int
@@ -50,12 +55,12 @@
 
     @property
     def is_new(self) -> bool:
-        """Return whether the rank was restarted and not started yet."""
+        """Return whether the rank has neither a map nor an arming yet."""
         return self.map_id is None and self.armed is None
 
     @property
     def holding(self) -> bool:
-        """Return whether the rank waits for a decision."""
+        """Return whether the rank waits at its step for the decision."""
         armed = self.armed
         if armed is None or self.confirmed or self.entered:
             return False
@@ -64,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """The coordinator asks to load a map's experts."""
+    """The coordinator's request to load a map's experts."""
 
     attempt: Attempt
     map_id: str
@@ -72,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepared:
-    """The experts are loaded; names what an arming must match."""
+    """A rank's reply that the experts are loaded.
+
+    `generation` and `incarnation` are those that an arming must match.
+    """
 
     attempt: Attempt
     rank: int
@@ -84,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A rank as it was when it had prepared."""
+    """The generation and incarnation with which a rank prepared."""
 
     generation: int
     incarnation: int
@@ -92,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arm:
-    """The coordinator asks to arm; `members` are all ranks in order."""
+    """The coordinator's request to arm; `members` are in rank order."""
 
     arming: Arming
     members: tuple[Member, ...]
 
 
 class Verdict(enum.IntEnum):
-    """What a rank says of an attempt; neither answer ever changes."""
+    """A rank's verdict on an attempt; it is final once sent."""
 
     ARMED = 1
     REFUSED = 2
@@ -107,25 +115,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """A rank's verdict, for the incarnation of a side that asked for it."""
+    """A rank's reply to a `Query`.
+
+    `query_incarnation` is the incarnation of the side daemon that sent the
+    query.
+    """
 
     attempt: Attempt
     rank: int
     generation: int
     verdict: Verdict
-    asked_by: int
+    query_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """All ranks were armed."""
+    """Tells a rank that all ranks were armed and the switch is decided."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """The coordinator or a waiting rank asks for a verdict."""
+    """A request of the coordinator or a waiting rank for a verdict."""
 
     attempt: Attempt
     rank: int
@@ -134,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinQuery:
-    """A restarted rank asks where the group is."""
+    """A restarted rank's request for its peers' steps, maps and armings."""
 
     rank: int
     generation: int
@@ -142,7 +154,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinReply:
-    """A peer's answer; `map_id` is None if it was restarted itself."""
+    """A peer's reply to a `JoinQuery`.
+
+    `generation` is that of the query. `map_id` is None if the peer has not
+    been started since its own restart.
+    """
 
     rank: int
     generation: int
@@ -160,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a note to another rank's side."""
+    """Send a note to the side daemon of a rank."""
 
     target: int
     note: Note
@@ -168,14 +184,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderStage:
-    """Load the experts of a map beside those in use."""
+    """Load the experts of a map in addition to those in use."""
 
     map_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class OrderArm:
-    """Arm the rank. Refused once its step has passed."""
+    """Arm the rank; the engine refuses it once the step has passed."""
 
     generation: int
     arming: Arming
@@ -183,24 +199,24 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderConfirm:
-    """Let the armed rank go on with the new map."""
+    """Let the armed rank continue with the new map."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class OrderDisarm:
-    """Let the armed rank go on with the old map, unless confirmed."""
+    """Let the armed rank continue with the old map, unless confirmed."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class OrderStart:
-    """Start a restarted rank where its group is, armed as its peers are.
+    """Start a restarted rank at its group's step, armed like its peers.
 
-    One order and not two: between a start and a later arming the rank could
-    pass the step with the old map while its peers use the new one.
+    Starting and arming are one order. If they were two, the rank could pass
+    the step with the old map in between, while its peers use the new one.
     """
 
     generation: int
