--- a/linnetwind/group_runner.py
+++ b/linnetwind/group_runner.py
@@ -1,7 +1,7 @@
-"""One rank's part in its group: the threads around `mapswitch`.
+"""The thread that runs `mapswitch` for one rank of a group.
 
-The runner reads the engine's status at short intervals, takes notes from
-the other sides, and may be the group's coordinator.
+The runner polls the engine's status at short intervals, handles notes from
+the side daemons of the other ranks, and may act as the group's coordinator.
 """
 
 import queue
@@ -18,7 +18,7 @@
 from linnetwind.decisions import log_decision
 from linnetwind.group_planner import GroupPlanner
 from linnetwind.mapswitch import handle_note, handle_status
-from linnetwind.mapswitch_side import Handled, make_participant
+from linnetwind.mapswitch_side import Transition, make_participant
 from linnetwind.mapswitch_types import (
     NOTE_CODEC,
     Action,
@@ -31,20 +31,20 @@
 from linnetwind.messages import GroupNote
 from linnetwind.rank_engine import RankEngine
 
-TICK_MS = 50
-TICK = timedelta(milliseconds=TICK_MS)
+NOTE_WAIT_MS = 50
+NOTE_WAIT = timedelta(milliseconds=NOTE_WAIT_MS)
 
-# Orders go to the engine on the same host one at a time, each with a
-# time-out of a second; one that a former side daemon gave has arrived or
-# failed by then. Acting earlier, this side could answer for a rank that is
-# armed a moment later.
-SETTLING = timedelta(seconds=1)
+# A side daemon sends orders to the engine on its host one at a time, each
+# with a timeout of one second. After this delay, the last order of a former
+# incarnation has arrived or failed. Without it, this side daemon could reply
+# that the rank is not armed just before such an order arms it.
+STARTUP_DELAY = timedelta(seconds=1)
 
 SendNote = Callable[[str, GroupNote], None]
 
 
 class GroupRunner:
-    """The side of one rank."""
+    """Runs the side daemon's part in one rank's group."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         planner: GroupPlanner,
         clock: Clock,
     ) -> None:
-        """Start as a new incarnation.
+        """Start as a new incarnation of the side daemon.
 
         Args:
           group: The group's configuration.
@@ -64,8 +64,8 @@
           hosts: The host of each rank.
           engine: The rank's engine.
           send: Sends a note to a host.
-          planner: Decides on maps while this side coordinates.
-          clock: For the settling time.
+          planner: Plans maps while this side daemon coordinates the group.
+          clock: Limits how long a round waits for notes.
         """
         self._group = group
         self._rank = rank
@@ -88,7 +88,9 @@
         self._planner.take_group(group)
 
     def take(self, note: GroupNote) -> None:
-        """Take a note from another side; called on its connection's thread.
+        """Queue a note from another side daemon for the next round.
+
+        May be called on any thread, such as that of the connection.
 
         Args:
           note: The note.
@@ -96,61 +98,64 @@
         self._notes.put(note)
 
     def run(self) -> None:
-        """Take part until stopped."""
-        time.sleep(SETTLING.total_seconds())
+        """Run rounds of status, coordination and notes until stopped."""
+        time.sleep(STARTUP_DELAY.total_seconds())
         while not self._stopped:
-            guarded(self._look)
+            guarded(self._poll_engine)
             guarded(self._coordinate)
-            guarded(self._take_notes)
+            guarded(self._handle_queued_notes)
 
     def stop(self) -> None:
         """End `run` after its current round."""
         self._stopped = True
 
-    def _look(self) -> None:
+    def _poll_engine(self) -> None:
         status = self._engine.status()
         if isinstance(status, Ok):
-            self._follow(handle_status(self._side, status.ok_value))
+            self._apply_transition(handle_status(self._side, status.ok_value))
 
     def _coordinate(self) -> None:
         status = self._side.status
         if status is not None:
             self._perform(self._planner.tick(status, self._engine.counts))
 
-    def _take_notes(self) -> None:
-        deadline = self._clock.elapsed() + TICK
+    def _handle_queued_notes(self) -> None:
+        deadline = self._clock.elapsed() + NOTE_WAIT
         while self._clock.elapsed() < deadline:
-            left = deadline - self._clock.elapsed()
+            remaining = deadline - self._clock.elapsed()
             try:
-                note = self._notes.get(timeout=max(left.total_seconds(), 0))
+                note = self._notes.get(
+                    timeout=max(remaining.total_seconds(), 0)
+                )
             except queue.Empty:
                 return
-            self._take(note)
+            self._handle_note(note)
 
-    def _take(self, framed: GroupNote) -> None:
+    def _handle_note(self, framed: GroupNote) -> None:
         match NOTE_CODEC.decode(framed.note):
             case Ok(Prepared() as prepared):
                 self._perform(self._planner.take_prepared(prepared))
             case Ok(JoinQuery() as query):
-                self._refresh()
-                self._follow(handle_note(self._side, query))
+                self._refresh_status()
+                self._apply_transition(handle_note(self._side, query))
             case Ok(note):
                 self._planner.saw_coordinator(note)
-                self._follow(handle_note(self._side, note))
+                self._apply_transition(handle_note(self._side, note))
 
-    def _refresh(self) -> None:
-        # A restarted rank goes by this answer, so it must be of now. Its
-        # notes are left out: two restarted ranks would otherwise answer
-        # questions by questions without end.
+    def _refresh_status(self) -> None:
+        # A restarted rank relies on the reply, so the status must be current.
+        # Notes that the new status gives rise to are not sent: two restarted
+        # ranks would otherwise reply to each other's queries with queries
+        # forever.
         status = self._engine.status()
         if isinstance(status, Ok):
             side, actions = handle_status(self._side, status.ok_value)
             orders = tuple(
                 each for each in actions if not isinstance(each, Send)
             )
-            self._follow((side, orders))
+            self._apply_transition((side, orders))
 
-    def _follow(self, handled: Handled) -> None:
+    def _apply_transition(self, handled: Transition) -> None:
         side, actions = handled
         self._side = side
         self._perform(actions)
@@ -159,13 +164,13 @@
         for action in actions:
             match action:
                 case Send(target, note):
-                    self._post(target, note)
+                    self._send_note(target, note)
                 case _:
                     self._log_order(action)
-                    answered = self._engine.order(action)
-                    logger.debug('order {}: {}', action, answered)
+                    result = self._engine.order(action)
+                    logger.debug('order {}: {}', action, result)
 
-    def _post(self, target: int, note: Note) -> None:
+    def _send_note(self, target: int, note: Note) -> None:
         framed = GroupNote(
             self._group.name, self._rank, target, NOTE_CODEC.encode(note)
         )
