--- a/linnetwind/rank_agent.py
+++ b/linnetwind/rank_agent.py
@@ -1,9 +1,9 @@
-"""The small daemon beside a rank: its planner's hands on the rank's host.
+"""A small daemon on a rank's host that serves planners from its engine.
 
-Reading a rank's counts from another host is dear, and makes its whole group
-pause; on the rank's own host it is free. The agent decides nothing, and
-keeps nothing but the counts that it has told on each connection, so that it
-may be killed and started at any time.
+Reading a rank's counts from another host is expensive and makes its whole
+group pause; on the rank's own host it costs nothing. The agent makes no
+decisions. Its only state is the counts last sent on each connection, so it
+may be killed and restarted at any time.
 """
 
 import socket
@@ -26,7 +26,7 @@
     PackedPrepare,
     Seen,
     count_lanes,
-    pack_seen,
+    pack_snapshot,
     unpack_order,
 )
 from linnetwind.rank_packing import NotPacked
@@ -34,15 +34,16 @@
 from linnetwind.step_log import StepLog
 from linnetwind.stop_signals import StopSignals
 
-# Planners that ask at once: one, or a few while they change.
-_MOST_PLANNERS = 8
+# There is one planner at a time, or a few while the leader changes.
+_MAX_PLANNER_CONNECTIONS = 8
 _STACK_BYTES = 131_072
-# A planner that asks nothing for this long has gone without a word.
-_IDLE_S = 20
+# A planner that sends nothing for this long is considered gone; its
+# connection is closed.
+_IDLE_TIMEOUT_SECONDS = 20
 
 
 class RankAgent:
-    """Answers planners from the engine on its own host."""
+    """Serves planners with the state of the engine on its own host."""
 
     def __init__(
         self,
@@ -52,14 +53,15 @@
         clock: Clock,
         log: StepLog,
     ) -> None:
-        """Open the socket.
+        """Open the listening socket.
 
         Args:
           name: The daemon's name.
-          listen: Where planners reach it.
-          open_rank: Returns a client of the engine, one for each planner.
+          listen: The address on which planners connect.
+          open_rank: Returns a client of the engine; called once for each
+            connection of a planner.
           clock: The clock.
-          log: The log.
+          log: The log of the daemon's events.
         """
         threading.stack_size(_STACK_BYTES)
         self._name = name
@@ -75,47 +77,50 @@
         signals = StopSignals()
         self._log.event(Started('rank', str(self._address), '', self._name))
         DaemonThreads(self._log).accept(
-            self._listener, self._serve, 'planner', _MOST_PLANNERS
+            self._listener, self._serve, 'planner', _MAX_PLANNER_CONNECTIONS
         )
-        signals.wait(_keep_settings)
+        signals.wait(_ignore_reload)
         self._stop.set()
         self._log.event(Stopping(0))
         self._log.event(Stopped(0, timedelta()))
 
     def _serve(self, sock: socket.socket) -> None:
         rank = self._open_rank()
-        sock.settimeout(_IDLE_S)
+        sock.settimeout(_IDLE_TIMEOUT_SECONDS)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A planner that goes ends this; nothing here depends on it.
-        told: CountLanes | None = None
+        # A closed or broken connection ends the loop. Nothing else in the
+        # agent depends on the planner.
+        last_sent: CountLanes | None = None
         with suppress(OSError):
             while not self._stop.is_set():
-                told = _answer_one(sock, rank, told)
+                last_sent = _serve_request(sock, rank, last_sent)
 
 
-def _keep_settings() -> None:
-    """Go on at SIGHUP: an agent's addresses do not change while it runs."""
+def _ignore_reload() -> None:
+    """Ignore SIGHUP: an agent's addresses do not change while it runs."""
 
 
-def _answer_one(
-    sock: socket.socket, rank: RankPort, told: CountLanes | None
+def _serve_request(
+    sock: socket.socket, rank: RankPort, last_sent: CountLanes | None
 ) -> CountLanes | None:
-    """Answer a planner; return the counts that it has now been told."""
+    """Serve one request; return the counts last sent on the connection."""
     match RANK_CODEC.decode(receive_frame(sock)):
         case Ok(Look(with_counts, with_experts)):
             counts = count_lanes(rank.counts()) if with_counts else None
             experts = rank.experts() if with_experts else None
-            answer = pack_seen(Seen(rank.report(), counts, experts), told)
-            told = counts or told
+            reply = pack_snapshot(
+                Seen(rank.report(), counts, experts), last_sent
+            )
+            last_sent = counts or last_sent
         case Ok(message):
-            answer = Obeyed(rank.order(_order(message)), rank.report())
+            reply = Obeyed(rank.order(_unpack_order(message)), rank.report())
         case Err(problem):
             raise ConnectionError(problem.describe())
-    send_frame(sock, RANK_CODEC.encode(answer))
-    return told
+    send_frame(sock, RANK_CODEC.encode(reply))
+    return last_sent
 
 
-def _order(message: RankOrder | PackedPrepare) -> RankOrder:
+def _unpack_order(message: RankOrder | PackedPrepare) -> RankOrder:
     try:
         return unpack_order(message)
     except NotPacked as error:
--- a/linnetwind/rank_engine.py
+++ b/linnetwind/rank_engine.py
@@ -1,4 +1,4 @@
-"""A rank's engine over HTTP: its status and its orders."""
+"""Client of a rank's engine over HTTP, for its status and its orders."""
 
 from dataclasses import dataclass
 from http.client import HTTPConnection, HTTPException
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class EngineUnavailable:
-    """The engine did not answer; an order may have reached it."""
+    """The engine did not respond; it may still have received the order."""
 
     problem: str
 
@@ -39,25 +39,25 @@
 
     def status(self) -> Result[RankStatus, EngineUnavailable]:
         """Read the rank's status."""
-        return self._ask('GET', f'/ranks/{self.rank}', None)
+        return self._request_status('GET', f'/ranks/{self.rank}', None)
 
     def order(self, order: Order) -> Result[RankStatus, EngineUnavailable]:
-        """Give an order.
+        """Send an order.
 
         Args:
-          order: The order; harmless when it is repeated or late.
+          order: The order; it is harmless if duplicated or late.
 
         Returns:
-          The status after it.
+          The rank's status after the order.
         """
         path = f'/ranks/{self.rank}/orders'
-        return self._ask('POST', path, encode_order(order))
+        return self._request_status('POST', path, encode_order(order))
 
     def counts(self) -> list[list[float]]:
-        """Read the tokens per expert in each layer.
+        """Read the number of tokens per expert in each layer.
 
         Returns:
-          A list for each layer; empty when there are none.
+          A list for each layer; empty if the engine does not respond.
         """
         try:
             body = self._fetch('GET', '/counts', None)
@@ -65,7 +65,7 @@
         except _ERRORS:
             return []
 
-    def _ask(
+    def _request_status(
         self, method: str, path: str, body: bytes | None
     ) -> Result[RankStatus, EngineUnavailable]:
         try:
--- a/linnetwind/rank_link.py
+++ b/linnetwind/rank_link.py
@@ -1,8 +1,8 @@
 """The planner's connections to all ranks of a group.
 
-Each rank is reached through the agent on its host, or directly if the agent
-does not answer; that is dearer and gives no counts, but an agent's death must
-not leave a map half rolled out.
+Each rank is reached through the agent on its host, or directly at its engine
+if the agent does not reply. Direct calls are more expensive and return no
+counts, but a dead agent must not leave a map partially rolled out.
 """
 
 import socket
@@ -25,7 +25,7 @@
     PackedSeen,
     Seen,
     pack_order,
-    unpack_seen,
+    unpack_snapshot,
 )
 from linnetwind.rank_packing import NotPacked
 from linnetwind.rank_types import (
@@ -37,68 +37,72 @@
 )
 from linnetwind.upstream_list import Upstream
 
-# The agent asks its engine on the same host; both answer in milliseconds. An
-# engine that leaves an order unanswered shows after the shorter time.
-_AGENT_TIMEOUT_S = 0.35
-# An agent that failed is passed over for this long.
-_REST = timedelta(seconds=1)
-# Ranks that are asked at once. One whose host has no power is given up after
-# 0.5 s (the agent's time limit and the engine's): asked 16 at a
-# time, 192 of them take 6 s, in which no plan is made. Threads are started as
-# they are needed.
-_THREADS = 64
+# The agent queries the engine on its own host, and both respond within
+# milliseconds. The agent's timeout for its engine is shorter than this, so
+# an engine that does not respond to an order is reported by the agent.
+_AGENT_TIMEOUT_SECONDS = 0.35
+# After a failure, the agent is not contacted for this long.
+_AGENT_RETRY_DELAY = timedelta(seconds=1)
+# The number of ranks that are queried concurrently. A rank whose host has no
+# power times out after 0.5 s (the agent's timeout plus the engine's). With 16
+# at a time, 192 such ranks would take 6 s, during which no plan is made. The
+# pool starts threads only as they are needed.
+_MAX_THREADS = 64
 
-_Question = Look | RankOrder | PackedPrepare
+_AgentRequest = Look | RankOrder | PackedPrepare
 
 
 class RankLink:
-    """One rank: its agent, and its engine directly."""
+    """The connection to one rank, through its agent or directly."""
 
     def __init__(self, agent: Address, engine: RankPort, clock: Clock) -> None:
-        """Connect later.
+        """Create the link; it connects with the first message.
 
         Args:
-          agent: Where the agent listens.
-          engine: The rank's engine, called from here.
-          clock: For rests.
+          agent: The address on which the agent listens.
+          engine: The rank's engine, called directly from this host.
+          clock: Limits how soon a failed agent is contacted again.
         """
         self._agent = agent
         self._engine = engine
         self._clock = clock
         self._sock: socket.socket | None = None
         self._counts: CountLanes | None = None
-        self._rests_until = timedelta()
-
-    def look(self, wanted: Look) -> Seen:
-        """Return the rank's state, and its counts if the agent answers."""
-        answer = self._ask(wanted)
-        if isinstance(answer, Seen) and answer.report is not None:
-            return answer
-        experts = self._engine.experts() if wanted.with_experts else None
+        self._agent_retry_at = timedelta()
+
+    def look(self, query: Look) -> Seen:
+        """Return the rank's state, with its counts if the agent replies."""
+        reply = self._ask_agent(query)
+        if isinstance(reply, Seen) and reply.report is not None:
+            return reply
+        experts = self._engine.experts() if query.with_experts else None
         return Seen(self._engine.report(), None, experts)
 
     def command(self, order: RankOrder) -> Obeyed:
-        """Give an order.
+        """Send an order.
 
-        A hold and its release go to the engine directly. If the host of the
-        held rank's agent froze between them, its engine could not be reached
-        either and the group stood still until it woke: 4.2 s measured. If
-        the planner's own host freezes, another planner releases the group.
+        A hold and its release are sent directly to the engine. Through the
+        agent, they depend on the host of the held rank: if it froze between
+        the two, its engine was unreachable as well and the group stopped
+        until the host resumed (4.2 s). If the planner's own host freezes,
+        another planner releases the group.
         """
         if isinstance(order, HoldPass | ReleasePass):
-            return self._command_directly(order)
-        answer = self._ask(pack_order(order))
-        if isinstance(answer, Obeyed):
-            return answer
+            return self._order_engine_directly(order)
+        reply = self._ask_agent(pack_order(order))
+        if isinstance(reply, Obeyed):
+            return reply
         return Obeyed(self._engine.order(order))
 
-    def _command_directly(self, order: RankOrder) -> Obeyed:
+    def _order_engine_directly(self, order: RankOrder) -> Obeyed:
         result = self._engine.order(order)
-        # The engine's report is some hundred milliseconds old for other hosts:
-        # a planner that took it would not see the hold that it has just
-        # placed. The agent's is fresh.
-        seen = self._ask(Look(with_counts=False))
-        return Obeyed(result, seen.report if isinstance(seen, Seen) else None)
+        # To other hosts, the engine serves a report that is some hundred
+        # milliseconds old. A planner that used it would not see the hold that
+        # it has just placed. The agent's report is current.
+        snapshot = self._ask_agent(Look(with_counts=False))
+        return Obeyed(
+            result, snapshot.report if isinstance(snapshot, Seen) else None
+        )
 
     def close(self) -> None:
         """Close the connection to the agent."""
@@ -107,36 +111,37 @@
         self._sock = None
         self._counts = None
 
-    def _ask(self, message: _Question) -> Seen | Obeyed | None:
-        if self._clock.elapsed() < self._rests_until:
+    def _ask_agent(self, message: _AgentRequest) -> Seen | Obeyed | None:
+        if self._clock.elapsed() < self._agent_retry_at:
             return None
         try:
-            return self._exchange(message)
+            return self._send_and_receive(message)
         except OSError:
-            # Asked directly from now on; the caller sees what is missing.
+            # The engine is called directly until the retry delay is over; the
+            # caller notices that the counts are missing.
             self.close()
-            self._rests_until = self._clock.elapsed() + _REST
+            self._agent_retry_at = self._clock.elapsed() + _AGENT_RETRY_DELAY
             return None
 
-    def _exchange(self, message: _Question) -> Seen | Obeyed | None:
+    def _send_and_receive(self, message: _AgentRequest) -> Seen | Obeyed | None:
         if self._sock is None:
             self._sock = socket.create_connection(
-                (self._agent.ip, self._agent.port), _AGENT_TIMEOUT_S
+                (self._agent.ip, self._agent.port), _AGENT_TIMEOUT_SECONDS
             )
             self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         send_frame(self._sock, RANK_CODEC.encode(message))
-        answer = _read_answer(receive_frame(self._sock), self._counts)
-        if isinstance(answer, Seen):
-            self._counts = answer.counts or self._counts
-        return answer
+        reply = _decode_reply(receive_frame(self._sock), self._counts)
+        if isinstance(reply, Seen):
+            self._counts = reply.counts or self._counts
+        return reply
 
 
 @dataclass(frozen=True, slots=True)
-class _Target:
-    """Whom a link leads to.
+class _LinkKey:
+    """Identifies the worker that a link connects to.
 
-    A worker that starts again under its name may do so elsewhere; a link that
-    was kept under the name alone asked at the old address for ever.
+    A worker may restart under the same name at another address. A link that
+    was stored under the name alone kept calling the old address forever.
     """
 
     life: Life
@@ -153,33 +158,33 @@
           open_link: Returns a link to an upstream.
         """
         self._open_link = open_link
-        self._links: dict[_Target, RankLink] = {}
-        self._pool = ThreadPoolExecutor(_THREADS, 'rank')
+        self._links: dict[_LinkKey, RankLink] = {}
+        self._pool = ThreadPoolExecutor(_MAX_THREADS, 'rank')
 
     def keep(self, upstreams: Iterable[Upstream]) -> None:
-        """Close the links to all other upstreams.
+        """Close the links to all upstreams except those given.
 
         Args:
           upstreams: The upstreams that are registered now.
         """
-        targets = {_target(each) for each in upstreams}
-        for gone in self._links.keys() - targets:
-            self._links.pop(gone).close()
+        current_keys = {_link_key(each) for each in upstreams}
+        for stale_key in self._links.keys() - current_keys:
+            self._links.pop(stale_key).close()
 
     def look(
-        self, upstreams: Iterable[Upstream], wanted: Look
+        self, upstreams: Iterable[Upstream], query: Look
     ) -> dict[Upstream, Seen]:
-        """Ask several upstreams at once.
+        """Query several upstreams concurrently.
 
         Args:
-          upstreams: The upstreams to ask.
-          wanted: What is wanted of each.
+          upstreams: The upstreams to query.
+          query: The parts of the state to read from each.
 
         Returns:
-          What each of them said.
+          The state of each upstream.
         """
         jobs = {
-            each: self._pool.submit(self._link(each).look, wanted)
+            each: self._pool.submit(self._link(each).look, query)
             for each in upstreams
         }
         return {each: job.result() for each, job in jobs.items()}
@@ -187,13 +192,13 @@
     def command(
         self, orders: Mapping[Upstream, RankOrder]
     ) -> dict[Upstream, Obeyed]:
-        """Give orders to several upstreams at once.
+        """Send orders to several upstreams concurrently.
 
         Args:
           orders: The order for each upstream.
 
         Returns:
-          What became of each.
+          The reply to each order.
         """
         jobs = {
             each: self._pool.submit(self._link(each).command, order)
@@ -202,25 +207,25 @@
         return {each: job.result() for each, job in jobs.items()}
 
     def _link(self, upstream: Upstream) -> RankLink:
-        target = _target(upstream)
-        link = self._links.get(target)
+        link_key = _link_key(upstream)
+        link = self._links.get(link_key)
         if link is None:
             link = self._open_link(upstream)
-            self._links[target] = link
+            self._links[link_key] = link
         return link
 
 
-def _target(upstream: Upstream) -> _Target:
-    return _Target(upstream.life, upstream.address)
+def _link_key(upstream: Upstream) -> _LinkKey:
+    return _LinkKey(upstream.life, upstream.address)
 
 
-def _read_answer(frame: bytes, before: CountLanes | None) -> Seen | Obeyed:
+def _decode_reply(frame: bytes, before: CountLanes | None) -> Seen | Obeyed:
     match RANK_CODEC.decode(frame):
         case Ok(PackedSeen() as packed):
             try:
-                return unpack_seen(packed, before)
+                return unpack_snapshot(packed, before)
             except NotPacked as error:
                 raise ConnectionError(str(error)) from error
-        case Ok(Obeyed() as obeyed):
-            return obeyed
-    raise ConnectionError('not an answer of a rank agent')
+        case Ok(Obeyed() as reply):
+            return reply
+    raise ConnectionError('the frame is not a reply of a rank agent')
--- a/linnetwind/rank_link_test.py
+++ b/linnetwind/rank_link_test.py
@@ -1,4 +1,4 @@
-"""Tests of the planner's connection to a rank, over sockets."""
+"""Tests of the planner's connection to a rank and its agent, over sockets."""
 
 import socket
 from contextlib import suppress
@@ -34,18 +34,18 @@
 
 
 class Engine:
-    """A rank's engine; what one host sees of it may be older."""
+    """A fake engine; each host may be given one with an older report."""
 
     def __init__(self, report=REPORT):
-        self.now = report
+        self.current_report = report
         self.orders = []
-        self.chosen = (1, 2, 3)
+        self.selected = (1, 2, 3)
 
     def report(self):
-        return self.now
+        return self.current_report
 
     def counts(self):
-        return RankCounts(1, 5, self.chosen)
+        return RankCounts(1, 5, self.selected)
 
     def experts(self):
         return None
@@ -58,8 +58,8 @@
 @pytest.fixture(name='agent')
 def _agent():
     engine = Engine(replace(REPORT, held=9))
-    with socket.create_server(('127.0.0.1', 0)) as free:
-        port = free.getsockname()[1]
+    with socket.create_server(('127.0.0.1', 0)) as probe:
+        port = probe.getsockname()[1]
     agent = RankAgent(
         'rank-1',
         Address('127.0.0.1', port),
@@ -69,7 +69,7 @@
     )
 
     def serve(sock: socket.socket) -> None:
-        # As in the daemon: the connection is closed, whatever it raises.
+        # As in the daemon, the connection is closed whatever is raised.
         with sock, suppress(ConnectionError):
             agent._serve(sock)
 
@@ -82,81 +82,83 @@
     return RankLink(address, engine, SystemClock())
 
 
-def test_a_hold_is_seen_at_once(agent):
-    # An engine's report is some hundred milliseconds old for other hosts. A
-    # planner that took that one after its hold would not see the hold and
-    # place it again and again, while no pass begins: callers see a pause of
-    # half a second with each new map.
-    address, beside = agent
-    from_here = Engine()
+def test_a_hold_goes_to_the_engine_and_its_report_comes_from_the_agent(agent):
+    # To other hosts, an engine serves a report that is some hundred
+    # milliseconds old. A planner that used it after its hold would not see
+    # the hold and would repeat it, while no pass starts: callers would get a
+    # pause of half a second with each new map.
+    address, local_engine = agent
+    remote_engine = Engine()
     order = HoldPass(9, 1, 1)
-    obeyed = _link(address, from_here).command(order)
-    assert from_here.orders == [order]
-    assert beside.orders == []
-    assert obeyed.report.held == 9
+    reply = _link(address, remote_engine).command(order)
+    assert remote_engine.orders == [order]
+    assert local_engine.orders == []
+    assert reply.report.held == 9
 
 
-def test_a_map_arrives_as_it_was_sent_and_brings_the_report(agent):
-    address, beside = agent
+def test_a_map_arrives_unchanged_and_the_reply_has_a_report(agent):
+    address, local_engine = agent
     order = PrepareMap(4, 1, 1, MAPS)
-    obeyed = _link(address, Engine()).command(order)
-    assert beside.orders == [order]
-    assert obeyed.result is OrderResult.BEGUN
-    assert obeyed.report == beside.now
+    reply = _link(address, Engine()).command(order)
+    assert local_engine.orders == [order]
+    assert reply.result is OrderResult.BEGUN
+    assert reply.report == local_engine.current_report
 
 
-def test_counts_arrive_as_they_were_read(agent):
-    address, beside = agent
-    seen = _link(address, Engine()).look(Look(with_counts=True))
-    assert seen.counts == count_lanes(beside.counts())
-    assert seen.report == beside.now
+def test_counts_arrive_unchanged(agent):
+    address, local_engine = agent
+    snapshot = _link(address, Engine()).look(Look(with_counts=True))
+    assert snapshot.counts == count_lanes(local_engine.counts())
+    assert snapshot.report == local_engine.current_report
 
 
-def test_counts_that_go_on_arrive_whole(agent):
-    # Only what was counted since the last look goes over the link: of 192
-    # ranks with 3,840 experts all counts took 61 Mbit/s into one planner.
-    address, beside = agent
+def test_counts_sent_as_differences_add_up_to_the_totals(agent):
+    # Only what was counted since the last query is sent: for 192 ranks with
+    # 3,840 experts, full counts took 61 Mbit/s into one planner.
+    address, local_engine = agent
     link = _link(address, Engine())
-    for chosen in ((1, 2, 3), (1, 2, 3), (9, 2, 4), (0, 0, 1)):
-        beside.chosen = chosen
-        seen = link.look(Look(with_counts=True))
-        assert seen.counts == count_lanes(beside.counts())
+    for selected in ((1, 2, 3), (1, 2, 3), (9, 2, 4), (0, 0, 1)):
+        local_engine.selected = selected
+        snapshot = link.look(Look(with_counts=True))
+        assert snapshot.counts == count_lanes(local_engine.counts())
 
 
-def test_a_look_without_counts_leaves_the_next_difference_whole(agent):
-    address, beside = agent
+def test_a_query_without_counts_does_not_break_the_next_difference(agent):
+    address, local_engine = agent
     link = _link(address, Engine())
     link.look(Look(with_counts=True))
     link.look(Look(with_counts=False))
-    beside.chosen = (4, 4, 4)
-    seen = link.look(Look(with_counts=True))
-    assert seen.counts == count_lanes(beside.counts())
+    local_engine.selected = (4, 4, 4)
+    snapshot = link.look(Look(with_counts=True))
+    assert snapshot.counts == count_lanes(local_engine.counts())
 
 
-def test_counts_go_on_over_a_new_connection(agent):
-    # The agent was killed between two looks, or the planner gave up on it.
-    address, beside = agent
+def test_counts_are_complete_after_a_new_connection(agent):
+    # The agent was killed between two queries, or the planner closed the
+    # connection after a timeout.
+    address, local_engine = agent
     link = _link(address, Engine())
     link.look(Look(with_counts=True))
     link.close()
-    beside.chosen = (4, 4, 4)
-    seen = link.look(Look(with_counts=True))
-    assert seen.counts == count_lanes(beside.counts())
+    local_engine.selected = (4, 4, 4)
+    snapshot = link.look(Look(with_counts=True))
+    assert snapshot.counts == count_lanes(local_engine.counts())
 
 
-def test_a_rank_without_its_agent_is_ordered_directly():
+def test_an_order_goes_to_the_engine_if_the_agent_is_down():
     engine = Engine()
-    with socket.create_server(('127.0.0.1', 0)) as free:
-        nobody = Address('127.0.0.1', free.getsockname()[1])
+    with socket.create_server(('127.0.0.1', 0)) as probe:
+        unused_address = Address('127.0.0.1', probe.getsockname()[1])
     order = PrepareMap(4, 1, 1, MAPS)
-    obeyed = _link(nobody, engine).command(order)
+    reply = _link(unused_address, engine).command(order)
     assert engine.orders == [order]
-    # Old by then, so that the planner looks at all ranks again.
-    assert obeyed.report is None
+    # The engine's own report would be outdated. Without one, the planner
+    # queries all ranks again.
+    assert reply.report is None
 
 
-def test_an_agent_that_talks_nonsense_is_passed_over():
-    # Its counts cannot be read; the rank is asked directly instead.
+def test_an_agent_that_sends_invalid_counts_is_bypassed():
+    # The counts cannot be decoded, so the engine is queried directly.
     listener = socket.create_server(('127.0.0.1', 0))
     bad = PackedSeen(REPORT, PackedCounts(1, 1, b'123', 3), None)
 
@@ -167,15 +169,15 @@
 
     serve_in_threads(listener, serve)
     address = Address(*listener.getsockname())
-    seen = _link(address, Engine()).look(Look(with_counts=True))
-    assert seen.counts is None
-    assert seen.report == REPORT
+    snapshot = _link(address, Engine()).look(Look(with_counts=True))
+    assert snapshot.counts is None
+    assert snapshot.report == REPORT
     listener.close()
 
 
-def test_an_agent_drops_a_planner_that_sends_no_map(agent):
-    address, beside = agent
+def test_an_agent_disconnects_a_planner_that_sends_an_invalid_map(agent):
+    address, local_engine = agent
     with socket.create_connection((address.ip, address.port), 5) as sock:
         send_frame(sock, RANK_CODEC.encode(PackedPrepare(4, 1, 1, b'no map')))
         assert sock.recv(1) == b''
-    assert beside.orders == []
+    assert local_engine.orders == []
--- a/linnetwind/rank_messages.py
+++ b/linnetwind/rank_messages.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """Asks for the rank's state, and for its counts and experts as well."""
+    """Requests the rank's state, with its counts and experts if wanted."""
 
     with_counts: bool
     with_experts: bool = False
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """The rank's state; None where the engine did not answer."""
+    """The rank's state; fields are None if the engine did not respond."""
 
     report: RankReport | None
     counts: CountLanes | None = None
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedCounts:
-    """Counts as bytes: of `size` experts, since the pass `since_step`.
+    """Compressed counts of `size` experts since the pass `since_step`.
 
-    That is the pass of the counts that went over the same connection before;
-    without it, these are counts since the rank started.
+    `since_step` is the pass of the counts that were sent before over the same
+    connection. If it is None, the counts are those since the rank started.
     """
 
     epoch: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedSeen:
-    """`Seen` as it goes over the link."""
+    """`Seen` in the form that is sent between agent and planner."""
 
     report: RankReport | None
     counts: PackedCounts | None
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedPrepare:
-    """`PrepareMap` with the map as bytes."""
+    """`PrepareMap` with the map compressed to bytes."""
 
     version: int
     epoch: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Obeyed:
-    """What became of an order, and the rank's state after it."""
+    """The result of an order, and the rank's state after it."""
 
     result: OrderResult
     report: RankReport | None = None
@@ -105,13 +105,13 @@
 
 
 def count_lanes(counts: RankCounts | None) -> CountLanes | None:
-    """Return a rank's counts as lanes.
+    """Pack a rank's counts into one integer.
 
     Args:
-      counts: The counts, None where the engine did not answer.
+      counts: The counts, None if the engine did not respond.
 
     Returns:
-      The lanes.
+      The packed counts, None if there are none.
     """
     if counts is None:
         return None
@@ -121,17 +121,18 @@
 
 
 def goes_on(before: CountLanes | None, new: CountLanes) -> bool:
-    """Return whether counts go on where older ones of the rank ended.
+    """Return whether a rank has kept counting since older counts were read.
 
-    A rank that started again counts from nothing. Its last pass shows it
-    where the start is not stated or falls into the same millisecond.
+    A rank that restarted counts from zero again. If its start time is not
+    reported, or equals the old one to the millisecond, a lower pass number or
+    a lower count reveals the restart.
 
     Args:
       before: The older counts; None if there are none.
-      new: The newer ones.
+      new: The newer counts.
 
     Returns:
-      Whether their difference is what the rank has counted between them.
+      Whether the difference is what the rank has counted in between.
     """
     if before is None or before.epoch != new.epoch:
         return False
@@ -141,17 +142,21 @@
     return same_size and may_subtract(new.lanes, before.lanes, new.size)
 
 
-def pack_seen(seen: Seen, before: CountLanes | None = None) -> PackedSeen:
-    """Return a rank's state in the form for the link.
+def pack_snapshot(
+    snapshot: Seen, before: CountLanes | None = None
+) -> PackedSeen:
+    """Encode a rank's state for the connection between agent and planner.
+
+    Counts that continue those sent before are sent as the difference.
 
     Args:
-      seen: The state.
-      before: The counts that went over the same connection before.
+      snapshot: The state.
+      before: The counts that were sent before over the same connection.
 
     Returns:
       The message.
     """
-    counts = seen.counts
+    counts = snapshot.counts
     packed = None
     if counts is not None:
         continues = goes_on(before, counts)
@@ -164,21 +169,24 @@
             before.step if continues else None,
             counts.born_ms,
         )
-    return PackedSeen(seen.report, packed, seen.experts)
+    return PackedSeen(snapshot.report, packed, snapshot.experts)
 
 
-def unpack_seen(message: PackedSeen, before: CountLanes | None = None) -> Seen:
-    """Return the rank's state in a message.
+def unpack_snapshot(
+    message: PackedSeen, before: CountLanes | None = None
+) -> Seen:
+    """Decode the rank's state from a message.
 
     Args:
       message: The message.
-      before: The counts that came over the same connection before.
+      before: The counts received before over the same connection.
 
     Returns:
       The state.
 
     Raises:
-      NotPacked: The counts are no counts, or go on from others.
+      NotPacked: The counts are invalid, or are a difference from counts
+        other than `before`.
     """
     packed = message.counts
     counts = None
@@ -186,7 +194,9 @@
         lanes = unpack_lanes(packed.counts, packed.size)
         if packed.since_step is not None:
             if before is None or before.step != packed.since_step:
-                raise NotPacked('counts that go on from others')
+                raise NotPacked(
+                    'counts are relative to others than those received before'
+                )
             lanes += before.lanes
         counts = CountLanes(
             packed.epoch, packed.step, lanes, packed.size, packed.born_ms
@@ -195,13 +205,13 @@
 
 
 def pack_order(order: RankOrder) -> RankOrder | PackedPrepare:
-    """Return an order in the form for the link.
+    """Encode an order for the connection between planner and agent.
 
     Args:
       order: The order.
 
     Returns:
-      The message.
+      The message; the map of a `PrepareMap` is compressed.
     """
     if not isinstance(order, PrepareMap):
         return order
@@ -211,7 +221,7 @@
 
 
 def unpack_order(message: RankOrder | PackedPrepare) -> RankOrder:
-    """Return the order in a message.
+    """Decode the order in a message.
 
     Args:
       message: The message.
@@ -220,7 +230,7 @@
       The order.
 
     Raises:
-      NotPacked: The map is no map.
+      NotPacked: The message does not hold a valid map.
     """
     if not isinstance(message, PackedPrepare):
         return message
--- a/linnetwind/rank_types.py
+++ b/linnetwind/rank_types.py
@@ -1,24 +1,25 @@
-"""What a rank of a group reports, and the orders it takes, as data types."""
+"""Data types of a rank's reports and of the orders that it accepts."""
 
 import enum
 from dataclasses import dataclass
 from typing import Protocol
 
-# The experts of each rank, for each layer: layer, then rank, then experts.
+# The experts of each rank in each layer, indexed by layer, then by rank.
 RankMaps = tuple[tuple[tuple[int, ...], ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RankReport:
-    """The state of a rank, as its engine gives it.
-
-    `epoch` grows each time the group forms; `step` is the last pass that was
-    begun; `sequence` counts the orders that began something. `map_version`
-    is the map in use, `prepared` the version whose experts are all copied.
-    `armed` and `armed_step` say which version is taken up at which pass,
-    `held` the pass that does not begin before it is released. `pace` over 1
-    is a slow rank. `born_ms` is the Unix time in milliseconds at which the
-    rank's process started, None where it does not say so.
+    """The state of a rank as its engine reports it.
+
+    `epoch` grows each time the group forms. `step` is the last pass that
+    started, and `sequence` counts the orders that started an action.
+    `map_version` is the map in use, `prepared` the version whose experts
+    have all been copied. `armed` is the version that takes effect at the
+    pass `armed_step`. The pass `held` does not start until it is released.
+    `pace` is greater than 1 for a slow rank. `running` and `waiting` count
+    the rank's requests. `born_ms` is the Unix time in milliseconds at which
+    the rank's process started, None if the rank does not report it.
     """
 
     group: str
@@ -42,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RankCounts:
-    """How often each expert was chosen since the rank started.
+    """How often each expert was selected since the rank started.
 
-    `counts` has all experts of the first layer, then of the second, and so
-    on; only requests that this rank runs are counted.
+    `counts` lists all experts of the first layer, then those of the second,
+    and so on. Only the requests that run on this rank are counted.
     """
 
     epoch: int
@@ -56,9 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CountLanes:
-    """`RankCounts` as one number with a lane of 32 bits for each count.
+    """`RankCounts` packed into one integer with 32 bits for each count.
 
-    `size` is the number of counts.
+    `size` is the number of counts. Packed counts can be added and subtracted
+    in one operation.
     """
 
     epoch: int
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RankExperts:
-    """The experts that a rank holds in each layer, by the map in use."""
+    """The experts that a rank holds in each layer under the map in use."""
 
     epoch: int
     version: int
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepareMap:
-    """Copy the experts of a map that are new to the rank."""
+    """Copy those experts of a map that the rank does not hold yet."""
 
     version: int
     epoch: int
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArmMap:
-    """Take up a prepared map as a pass begins."""
+    """Switch to a prepared map at the start of a pass."""
 
     version: int
     step: int
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisarmMap:
-    """Do not take up a map after all."""
+    """Cancel the arming of a map."""
 
     version: int
     epoch: int
@@ -108,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldPass:
-    """Do not begin a pass before it is released."""
+    """Keep a pass from starting until it is released."""
 
     step: int
     epoch: int
@@ -117,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasePass:
-    """Let a held pass begin."""
+    """Let a held pass start."""
 
     step: int
     epoch: int
@@ -127,9 +129,10 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order.
+    """The result of an order.
 
-    After `NO_ANSWER` it may have been carried out, or may be seconds later.
+    After `NO_ANSWER` the order may have been carried out, or may still be
+    carried out seconds later.
     """
 
     DONE = 'done'
@@ -139,16 +142,16 @@
 
 
 class RankPort(Protocol):
-    """A rank's engine; None means that it did not answer."""
+    """Access to a rank's engine; None means that it did not respond."""
 
     def report(self) -> RankReport | None:
         """Return the rank's state."""
 
     def counts(self) -> RankCounts | None:
-        """Return how often each expert was chosen."""
+        """Return how often each expert was selected."""
 
     def experts(self) -> RankExperts | None:
         """Return the experts that the rank holds."""
 
     def order(self, order: RankOrder) -> OrderResult:
-        """Give an order."""
+        """Send an order and return its result."""
