--- a/linnetwind/engine_feed.py
+++ b/linnetwind/engine_feed.py
@@ -1,7 +1,8 @@
-"""What a model engine says of itself: its load and its cache events.
+"""Reader of a model engine's load and of its prefix-cache events.
 
-Both come late, and cache events with gaps. They are hints: a block that is
-said to be cached may be gone, and one that is not said to be may be there.
+Both arrive late, and some cache events are lost. They are hints only: a block
+that is reported as cached may have been dropped, and a block that is not
+reported may be cached.
 """
 
 import json
@@ -14,7 +15,7 @@
 from linnetwind.address import Address
 
 TIMEOUT_SECONDS = 0.5
-MOST_BLOCKS = 500
+MAX_CACHE_EVENTS = 500
 
 _OK = 200
 _STORED = 'stored'
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """The engine's own report, out of date by its lag."""
+    """The load that the engine reports, which lags behind its state."""
 
     running: int
     waiting: int
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A block that was stored or dropped; numbers may have gaps."""
+    """A cache block was stored or dropped; event numbers may have gaps."""
 
     number: int
     kind: str
@@ -41,7 +42,11 @@
 
 @dataclass(frozen=True)
 class EngineNews:
-    """What is new since the last time."""
+    """The engine's step time, and cache changes since the previous read.
+
+    `step_ms` is in milliseconds; 0 means that it is unknown. `cached` and
+    `uncached` are blocks.
+    """
 
     step_ms: float = 0
     cached: tuple[int, ...] = ()
@@ -49,7 +54,7 @@
 
 
 class EngineFeed:
-    """Asks one engine; remembers which events were seen."""
+    """Polls one engine and keeps the number of its next unread event."""
 
     def __init__(self, address: Address) -> None:
         """Start before the first event.
@@ -61,20 +66,22 @@
         self._next_event = 0
 
     def news(self) -> EngineNews:
-        """Read the load and the new events.
+        """Read the load and the events that are new since the last call.
 
         Returns:
-          What is new; empty when the engine does not answer.
+          The updates; empty if the engine does not respond.
         """
         load = self._read('/load', EngineLoad)
         events = self._read(
             f'/events?from={self._next_event}',
             tuple[tuple[int, str, int], ...],
         )
-        known = [CacheEvent(*event) for event in events or ()][-MOST_BLOCKS:]
-        if known:
-            self._next_event = known[-1].number + 1
-        latest = {event.block: event.kind for event in known}
+        new_events = [CacheEvent(*event) for event in events or ()][
+            -MAX_CACHE_EVENTS:
+        ]
+        if new_events:
+            self._next_event = new_events[-1].number + 1
+        latest = {event.block: event.kind for event in new_events}
         stored = {block for block, kind in latest.items() if kind == _STORED}
         return EngineNews(
             load.step_ms if load else 0,
--- a/linnetwind/engine_feed_test.py
+++ b/linnetwind/engine_feed_test.py
@@ -1,4 +1,4 @@
-"""Tests of the engine's hints, against the stand-in engine."""
+"""Tests of reading an engine's load and events from the stand-in engine."""
 
 import json
 
@@ -26,7 +26,7 @@
     ask(engine.port, 'POST', path, json.dumps(body).encode())
 
 
-def test_news_hold_the_blocks_that_the_engine_stored(engine):
+def test_updates_hold_the_blocks_that_the_engine_stored(engine):
     feed = EngineFeed(Address(IP, engine.port))
     complete(engine)
     blocks = prompt_blocks(json.dumps(MESSAGES, sort_keys=True))
@@ -34,8 +34,8 @@
     assert feed.news().cached == ()
 
 
-def test_late_events_come_with_a_later_read(engine):
-    # The engine publishes its events a while after the fact.
+def test_late_events_are_returned_by_a_later_read(engine):
+    # The engine publishes its cache events with a delay.
     feed = EngineFeed(Address(IP, engine.port))
     engine.faults['event_delay'] = 60
     complete(engine)
@@ -44,14 +44,14 @@
     assert feed.news().cached
 
 
-def test_lost_events_are_passed_over(engine):
+def test_lost_events_do_not_stop_the_feed(engine):
     feed = EngineFeed(Address(IP, engine.port))
     engine.faults['event_gap'] = 2
     complete(engine)
     assert len(feed.news().cached) == 1
 
 
-def test_engine_that_does_not_answer_gives_no_news(engine):
+def test_engine_that_does_not_respond_gives_empty_updates(engine):
     feed = EngineFeed(Address(IP, engine.port))
     engine.faults['down'] = True
     assert feed.news() == EngineNews()
--- a/linnetwind/engine_orders.py
+++ b/linnetwind/engine_orders.py
@@ -1,4 +1,4 @@
-"""A rank's status and orders as an engine's HTTP interface carries them."""
+"""Encoding of a rank's status and orders on an engine's HTTP interface."""
 
 import json
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 def decode_order(body: bytes) -> Order:
-    """Decode an order, as the stand-in engine does.
+    """Decode an order; used by the stand-in engine.
 
     Args:
       body: The request's body.
@@ -46,22 +46,22 @@
 
 
 def status_to_plain(status: RankStatus) -> Any:
-    """Return a status in the form that an engine answers with.
+    """Convert a status to the plain types of an engine's JSON response.
 
     Args:
       status: The status.
 
     Returns:
-      Maps, lists and scalars.
+      Dictionaries, lists and scalars.
     """
     return msgspec.to_builtins(status)
 
 
 def status_from_body(body: bytes) -> RankStatus:
-    """Read an engine's answer.
+    """Decode the status in an engine's response.
 
     Args:
-      body: The answer's body.
+      body: The response's body.
 
     Returns:
       The status.
