--- a/linnetwind/group_log.py
+++ b/linnetwind/group_log.py
@@ -1,8 +1,9 @@
-"""A group's log stream: who coordinates, and which map is wanted.
+"""A group's log stream: which side daemon coordinates, and the target map.
 
-The epoch is the offset of the latest `Coordinate` record, so it grows with
-each change of the coordinator and no two have the same. The log is needed
-to become coordinator and to publish a map; never to finish a switch.
+The epoch is one more than the offset of the accepted `Coordinate` record, so
+it grows with each change of the coordinator and no two coordinators share
+one. The log is needed to become coordinator and to publish a map, but never
+to complete a switch.
 """
 
 import zlib
@@ -18,15 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Coordinate:
-    """A side takes the group over, because it saw no sign of `after`."""
+    """The side daemon `holder` takes over the coordinator's role.
+
+    It has seen no activity of the coordinator with the epoch
+    `replaced_epoch`, which is 0 if there was none.
+    """
 
     holder: str
-    after: int
+    replaced_epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The map that the coordinator of this epoch wants."""
+    """The map that the coordinator of `epoch` wants the group to use."""
 
     epoch: int
     map_id: str
@@ -35,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """The coordinator repeats its role, before the older records expire."""
+    """The coordinator renews its role before the older records expire."""
 
     holder: str
     epoch: int
@@ -46,7 +51,11 @@
 
 @dataclass(frozen=True)
 class GroupRole:
-    """The fold over a group's stream."""
+    """The state folded from a group's stream.
+
+    `next_offset` is the offset of the next record to read. `holder` is the
+    coordinator, an empty string if there is none.
+    """
 
     next_offset: int = 0
     holder: str = ''
@@ -55,41 +64,42 @@
 
 
 def fold_role(role: GroupRole, entries: Iterable[Entry]) -> GroupRole:
-    """Fold records into the role.
+    """Fold log records into the state.
 
     Args:
-      role: The role before.
+      role: The state before.
       entries: The records, in offset order.
 
     Returns:
-      The role after.
+      The state after.
     """
     for entry in entries:
         record = GROUP_CODEC.decode(entry.record).unwrap_or(None)
         epoch = entry.offset + 1
         match record:
-            # A higher epoch than the known one is met only by a reader whose
-            # earlier records have expired; it goes along with it. A lower
-            # one is of a coordinator that was replaced, or of the second of
-            # two sides that took over at once.
-            case Coordinate(holder, after) if after >= role.epoch:
+            # A record with a higher epoch than the known one means that the
+            # records in between expired before this reader started; it is
+            # accepted. A record with a lower epoch is ignored: it comes from
+            # a coordinator that was replaced, or from the second of two side
+            # daemons that took over at the same time.
+            case Coordinate(holder, replaced) if replaced >= role.epoch:
                 role = replace(role, holder=holder, epoch=epoch)
-            case Held(holder, held) if held >= role.epoch:
-                role = replace(role, holder=holder, epoch=held)
-            case Target(epoch=wanted_by) if wanted_by >= role.epoch:
+            case Held(holder, held_epoch) if held_epoch >= role.epoch:
+                role = replace(role, holder=holder, epoch=held_epoch)
+            case Target(epoch=target_epoch) if target_epoch >= role.epoch:
                 role = replace(role, target=record)
         role = replace(role, next_offset=entry.offset + 1)
     return role
 
 
 def pack_map(expert_map: ExpertMap) -> bytes:
-    """Return a map as compressed CBOR.
+    """Encode a map as compressed CBOR.
 
     Args:
       expert_map: The map.
 
     Returns:
-      The bytes of a `Target`.
+      The bytes for the field `packed` of a `Target`.
     """
     layers = [list(layer) for layer in expert_map.layers]
     plain = [expert_map.slots_per_rank, layers]
@@ -97,10 +107,10 @@
 
 
 def unpack_map(packed: bytes) -> ExpertMap:
-    """Return the map of a `Target`.
+    """Decode the map of a `Target`.
 
     Args:
-      packed: What `pack_map` gave.
+      packed: The bytes returned by `pack_map`.
 
     Returns:
       The map.
@@ -110,12 +120,12 @@
 
 
 def stream_of_group(group: str) -> str:
-    """Return the name of a group's stream.
+    """Return the name of a group's log stream.
 
     Args:
       group: The group's name.
 
     Returns:
-      The name.
+      The stream's name.
     """
     return f'group-{group}'
--- a/linnetwind/group_log_test.py
+++ b/linnetwind/group_log_test.py
@@ -1,4 +1,7 @@
-"""Tests of a group's stream: who coordinates, also after expiry."""
+"""Tests of a group's log stream and of the coordinator's role.
+
+They cover readers that start after the older records have expired.
+"""
 
 from datetime import UTC, datetime
 
@@ -33,36 +36,36 @@
     return fold_role(role or GroupRole(), entries)
 
 
-def test_first_of_two_that_take_over_at_once_coordinates():
+def test_first_of_two_concurrent_takeovers_wins():
     role = folded(Coordinate('a', 0), Coordinate('b', 0))
     assert (role.holder, role.epoch) == ('a', 1)
 
 
-def test_map_of_a_replaced_coordinator_is_not_wanted():
+def test_target_of_a_replaced_coordinator_is_ignored():
     old = Target(1, 'old', b'')
     role = folded(Coordinate('a', 0), Coordinate('b', 1), old)
     assert role.target is None
 
 
 def test_reader_that_starts_after_expiry_agrees_with_the_others():
-    # The records of the take-over have expired; the coordinator has
-    # repeated its role and its map. Then another side takes over.
+    # The record of the first takeover has expired, and the coordinator has
+    # renewed its role and its target. Then another side daemon takes over.
     target = Target(8, 'map', b'')
-    later = (Held('a', 8), target, Coordinate('b', 8))
-    known = folded(Coordinate('a', 0), first=7)
-    assert known.epoch == 8
-    known = folded(*later, first=8, role=known)
-    started = folded(*later, first=8)
-    assert started == known
-    assert started.holder == 'b'
+    recent_records = (Held('a', 8), target, Coordinate('b', 8))
+    live_reader = folded(Coordinate('a', 0), first=7)
+    assert live_reader.epoch == 8
+    live_reader = folded(*recent_records, first=8, role=live_reader)
+    late_reader = folded(*recent_records, first=8)
+    assert late_reader == live_reader
+    assert late_reader.holder == 'b'
 
 
-def test_repeated_role_of_a_replaced_coordinator_changes_nothing():
+def test_renewal_by_a_replaced_coordinator_is_ignored():
     role = folded(Coordinate('a', 0), Coordinate('b', 1), Held('a', 1))
     assert role.holder == 'b'
 
 
-def test_map_comes_back_as_it_was():
+def test_packed_map_is_unpacked_unchanged():
     expert_map = even_map(2, 2, 1, 4)
     assert unpack_map(pack_map(expert_map)) == expert_map
 
@@ -75,16 +78,16 @@
     return []
 
 
-def test_coordinator_is_replaced_and_its_map_survives_the_retention():
-    # Rank 0's side coordinates and publishes a map. Hours later only the
-    # repetition is left in the log; its side dies, and rank 1's side, just
-    # started, takes over and knows the map.
+def test_target_map_outlives_the_retention_and_a_new_coordinator():
+    # Rank 0's side daemon coordinates and publishes a map. Hours later only
+    # the renewal is left in the log. Rank 0's side daemon dies; rank 1's has
+    # just started, takes over, and must know the map.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     log = FakeLog()
     first = planner(log, clock, 0)
     sends = first.tick(RankStatus(1), no_counts)
-    wanted = sends[0].note.map_id
-    running = RankStatus(1, step=1, map_id=wanted)
+    map_id = sends[0].note.map_id
+    running = RankStatus(1, step=1, map_id=map_id)
     first.tick(running, no_counts)
     clock.advance(RENEW_INTERVAL)
     end = len(log.streams[STREAM])
@@ -95,11 +98,11 @@
     clock.advance(SILENCE * 2)
     second.tick(RankStatus(1), no_counts)
     sends = second.tick(RankStatus(1), no_counts)
-    assert {send.note.map_id for send in sends} == {wanted}
+    assert {send.note.map_id for send in sends} == {map_id}
     assert all(isinstance(send.note, Prepare) for send in sends)
 
 
-def test_side_that_hears_the_coordinator_does_not_take_over():
+def test_side_daemon_that_sees_the_coordinator_does_not_take_over():
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     log = FakeLog()
     first, second = planner(log, clock, 0), planner(log, clock, 1)
