--- a/linnetwind/group_log.py
+++ b/linnetwind/group_log.py
@@ -82,7 +82,7 @@
             # accepted. A record with a lower epoch is ignored: it comes from
             # a coordinator that was replaced, or from the second of two side
             # daemons that took over at the same time.
-            case Coordinate(holder, replaced) if replaced >= role.epoch:
+            case Coordinate(holder, previous) if previous >= role.epoch:
                 role = replace(role, holder=holder, epoch=epoch)
             case Held(holder, held_epoch) if held_epoch >= role.epoch:
                 role = replace(role, holder=holder, epoch=held_epoch)
--- a/linnetwind/group_log_test.py
+++ b/linnetwind/group_log_test.py
@@ -86,8 +86,8 @@
     log = FakeLog()
     first = planner(log, clock, 0)
     sends = first.tick(RankStatus(1), no_counts)
-    map_id = sends[0].note.map_id
-    running = RankStatus(1, step=1, map_id=map_id)
+    target_id = sends[0].note.map_id
+    running = RankStatus(1, step=1, map_id=target_id)
     first.tick(running, no_counts)
     clock.advance(RENEW_INTERVAL)
     end = len(log.streams[STREAM])
@@ -98,7 +98,7 @@
     clock.advance(SILENCE * 2)
     second.tick(RankStatus(1), no_counts)
     sends = second.tick(RankStatus(1), no_counts)
-    assert {send.note.map_id for send in sends} == {map_id}
+    assert {send.note.map_id for send in sends} == {target_id}
     assert all(isinstance(send.note, Prepare) for send in sends)
 
 
--- a/linnetwind/group_runner.py
+++ b/linnetwind/group_runner.py
@@ -155,8 +155,8 @@
             )
             self._apply_transition((side, orders))
 
-    def _apply_transition(self, handled: Transition) -> None:
-        side, actions = handled
+    def _apply_transition(self, transition: Transition) -> None:
+        side, actions = transition
         self._side = side
         self._perform(actions)
 
--- a/linnetwind/rank_messages.py
+++ b/linnetwind/rank_messages.py
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """The rank's state; fields are None if the engine did not respond."""
+    """The rank's state as of one query.
+
+    A field is None if it was not requested or the engine did not respond.
+    """
 
     report: RankReport | None
     counts: CountLanes | None = None
