--- a/linnetwind/mapswitch.py
+++ b/linnetwind/mapswitch.py
@@ -194,8 +194,8 @@
     status = require_status(side)
     if side.armed is not None or arming.attempt in side.refused:
         return False
-    # A former incarnation of this side may have refused the attempt, or
-    # another generation of the rank may have voted for it.
+    # A former incarnation of this side daemon may have refused the attempt,
+    # or another generation of the rank may have voted for it.
     if members[side.rank] != Member(status.generation, side.incarnation):
         return False
     # A peer that restarted after it had prepared joined the group on this
@@ -221,11 +221,11 @@
         if engine_armed_for(side, attempt):
             return side, (OrderDisarm(attempt),)
         return side, ()
-    cast = (attempt, vote.rank, vote.generation)
+    new_vote = (attempt, vote.rank, vote.generation)
     # Votes for other attempts are dropped: only the attempt that the rank is
     # armed for can still be decided.
     recorded = {each for each in side.votes if each[0] == attempt}
-    side = replace(side, votes=frozenset(recorded | {cast}))
+    side = replace(side, votes=frozenset(recorded | {new_vote}))
     if not _is_unanimous(side, attempt):
         return side, ()
     return side, (
--- a/linnetwind/mapswitch_test.py
+++ b/linnetwind/mapswitch_test.py
@@ -74,11 +74,11 @@
 def test_all_message_orders_of_two_ranks_without_restarts():
     # All histories of one attempt, with any message late, lost or repeated.
     # The search ends because it has visited every reachable state.
-    visited, violation, whole = Explorer(
+    visited, violation, complete = Explorer(
         Scenario(2, (attempt(1, 0, 1),), 0, 0, 2)
     ).explore(50_000)
     assert violation == ''
-    assert whole
+    assert complete
     assert visited > 1000
 
 
@@ -94,7 +94,7 @@
 ATTEMPT = Attempt(1, 1, 0)
 ARMING = Arming(ATTEMPT, 5, 'new')
 ARMED = RankStatus(1, step=5, map_id='old', armed=ARMING)
-FREE = RankStatus(1, step=3, map_id='old')
+UNARMED = RankStatus(1, step=3, map_id='old')
 
 
 def side_at(status):
@@ -129,7 +129,7 @@
     # This side daemon has refused the attempt; then an order that was still
     # in transit arms its engine. The side daemon must neither vote for the
     # attempt nor confirm it.
-    side, actions = handle_note(side_at(FREE), Query(ATTEMPT, 1, 9))
+    side, actions = handle_note(side_at(UNARMED), Query(ATTEMPT, 1, 9))
     assert actions[0].note.verdict is Verdict.REFUSED
     side, actions = handle_status(side, ARMED)
     assert OrderDisarm(ATTEMPT) in actions
@@ -148,7 +148,7 @@
 def test_memory_does_not_grow_with_the_attempts():
     # A group is rebalanced for months, so a side daemon must not remember
     # every attempt.
-    side = side_at(FREE)
+    side = side_at(UNARMED)
     for number in range(1000):
         query = Query(Attempt(1, number, 0), 1, 9)
         side, _actions = handle_note(side, query)
@@ -158,7 +158,7 @@
 
 def test_prepare_of_a_replaced_coordinator_is_ignored():
     side, _actions = handle_note(
-        side_at(FREE), Prepare(Attempt(3, 1, 1), 'new')
+        side_at(UNARMED), Prepare(Attempt(3, 1, 1), 'new')
     )
     _side, actions = handle_note(side, Prepare(Attempt(2, 9, 0), 'older'))
     assert actions == ()
--- a/linnetwind/rank_link.py
+++ b/linnetwind/rank_link.py
@@ -72,7 +72,7 @@
 
     def look(self, query: Look) -> Seen:
         """Return the rank's state, with its counts if the agent replies."""
-        reply = self._ask_agent(query)
+        reply = self._call_agent(query)
         if isinstance(reply, Seen) and reply.report is not None:
             return reply
         experts = self._engine.experts() if query.with_experts else None
@@ -89,7 +89,7 @@
         """
         if isinstance(order, HoldPass | ReleasePass):
             return self._order_engine_directly(order)
-        reply = self._ask_agent(pack_order(order))
+        reply = self._call_agent(pack_order(order))
         if isinstance(reply, Obeyed):
             return reply
         return Obeyed(self._engine.order(order))
@@ -99,7 +99,7 @@
         # To other hosts, the engine serves a report that is some hundred
         # milliseconds old. A planner that used it would not see the hold that
         # it has just placed. The agent's report is current.
-        snapshot = self._ask_agent(Look(with_counts=False))
+        snapshot = self._call_agent(Look(with_counts=False))
         return Obeyed(
             result, snapshot.report if isinstance(snapshot, Seen) else None
         )
@@ -111,7 +111,7 @@
         self._sock = None
         self._counts = None
 
-    def _ask_agent(self, message: _AgentRequest) -> Seen | Obeyed | None:
+    def _call_agent(self, message: _AgentRequest) -> Seen | Obeyed | None:
         if self._clock.elapsed() < self._agent_retry_at:
             return None
         try:
--- a/linnetwind/rank_types.py
+++ b/linnetwind/rank_types.py
@@ -59,8 +59,8 @@
 class CountLanes:
     """`RankCounts` packed into one integer with 32 bits for each count.
 
-    `size` is the number of counts. Packed counts can be added and subtracted
-    in one operation.
+    `size` is the number of counts. Packed counts can be added at once, and
+    subtracted if no count has decreased; see `rank_packing`.
     """
 
     epoch: int
