--- a/linnetwind/group_log.py
+++ b/linnetwind/group_log.py
@@ -1,9 +1,9 @@
 """A group's log stream: which side daemon coordinates, and the target map.
 
 The epoch is one more than the offset of the accepted record of type
-`Coordinate`. It therefore grows with each change of the coordinator, and no
-two coordinators share one. The log is needed to become coordinator and to
-publish a map, but never to complete a switch.
+`Coordinate`. It therefore grows with each change of the
+coordinator, and no two coordinators share one. The log is needed to become
+coordinator and to publish a map, but never to complete a switch.
 """
 
 import zlib
--- a/linnetwind/rank_link.py
+++ b/linnetwind/rank_link.py
@@ -81,9 +81,9 @@
     def command(self, order: RankOrder) -> Obeyed:
         """Send an order.
 
-        A hold and its release are sent directly to the engine. Through the
-        agent, they depend on the host of the held rank: if it froze between
-        the two, its engine was unreachable as well and the group stopped
+        A hold and its release are sent directly to the engine. If they went
+        through the agent and the held rank's host froze between the two, the
+        engine could not be reached directly either, and the group stopped
         until the host resumed (4.2 s). If the planner's own host freezes,
         another planner releases the group.
         """
