--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -117,8 +117,8 @@
         self._stop = make_stop(
             clock,
             setup.stop_within,
-            Host(setup.name, setup.site, told=None),
-            lambda: self._state.book,
+            Host(setup.name, setup.site, stop_time=None),
+            lambda: self._state.peer_table,
         )
         self._quarantines = QuarantineKeeper(
             ports.feeds.open_store(),
@@ -135,7 +135,7 @@
             log,
             open_call,
             self._stop,
-            tell_peers=self._mesh.tell_now,
+            tell_peers=self._mesh.advertise_now,
             keep_quarantine=self._quarantines.keep,
         )
 
@@ -197,7 +197,7 @@
         return self._state.table is not None and self._state.upstreams.end > 0
 
     def _is_ready(self) -> bool:
-        return self._knows_all() and self._stop.says_ready()
+        return self._knows_all() and self._stop.reports_ready()
 
     def _say_ready(self, sock: socket.socket) -> None:
         connection = self._connection(sock)
--- a/linnetwind/gateway_feeds.py
+++ b/linnetwind/gateway_feeds.py
@@ -122,7 +122,7 @@
         self, pace: Callable[[int], StorePace]
     ) -> Callable[[], StorePace]:
         def paced() -> StorePace:  # noqa: WPS430
-            live = self._state.book.live(self._clock.elapsed())
+            live = self._state.peer_table.live(self._clock.elapsed())
             return pace(1 + len(live))
 
         return paced
@@ -137,7 +137,7 @@
         Returns:
           How long to wait before the next look.
         """
-        live = self._state.book.live(self._clock.elapsed())
+        live = self._state.peer_table.live(self._clock.elapsed())
         told = max((each.config_version for each in live), default=0)
         table = self._state.table
         if table is None or told <= table.version:
--- a/linnetwind/gateway_state.py
+++ b/linnetwind/gateway_state.py
@@ -1,4 +1,8 @@
-"""What the requests of one gateway daemon share: counts, records, budgets."""
+"""The state that all requests of a gateway daemon share.
+
+It holds the configuration, the upstreams and the peers, the numbers of requests
+in flight, and the history and budgets of requests.
+"""
 
 import random
 import threading
@@ -28,12 +32,12 @@
 from linnetwind.upstream_limits import Turn
 from linnetwind.upstream_list import Upstream, UpstreamList
 
-# Peers that are gone are looked for this often.
-_FORGET_EVERY = timedelta(seconds=1)
-# Peers that have gone silent are looked for this often: a part of the time
-# after which one counts as gone.
-_SILENCE_LOOK_MS = 40
-_SILENCE_LOOK = timedelta(milliseconds=_SILENCE_LOOK_MS)
+# How often the table of peers is checked for peers to expire.
+_EXPIRY_CHECK_INTERVAL = timedelta(seconds=1)
+# How often the peers are checked for a timeout: a fraction of the time after
+# which a silent peer counts as gone.
+_TIMEOUT_CHECK_MS = 40
+_TIMEOUT_CHECK_INTERVAL = timedelta(milliseconds=_TIMEOUT_CHECK_MS)
 
 
 class GatewayState:
@@ -45,20 +49,20 @@
         Args:
           clock: The daemon's clock.
           own: The address at which peers reach this daemon.
-          terms: The shared budget of repeats.
+          terms: The terms of the shared retry budget.
         """
         self._clock = clock
         self._lock = threading.Lock()
         self._table: RouteTable | None = None
         self._upstreams = UpstreamList()
-        self._book = PeerBook(own)
+        self._peer_table = PeerBook(own)
         self._streams = StreamCounts()
-        self._silence_looked_at = timedelta()
-        self._records: dict[Life, Record] = {}
-        self._books = make_books(terms, clock, lambda: self._book)
+        self._timeouts_checked_at = timedelta()
+        self._stats: dict[Life, Record] = {}
+        self._books = make_books(terms, clock, lambda: self._peer_table)
         self._room = StreamRoom(clock)
-        self._forgotten_at = timedelta()
-        self._on_change: Callable[[], None] = _nothing
+        self._expiry_checked_at = timedelta()
+        self._on_change: Callable[[], None] = _do_nothing
 
     @property
     def table(self) -> RouteTable | None:
@@ -71,45 +75,45 @@
         return self._upstreams
 
     @property
-    def book(self) -> PeerBook:
-        """Return what is known of the peers."""
-        return self._book
+    def peer_table(self) -> PeerBook:
+        """Return the table of peers."""
+        return self._peer_table
 
     @property
     def room(self) -> StreamRoom:
-        """Return the room for streams in each group."""
+        """Return the stream admission control of each group."""
         return self._room
 
     @property
     def books(self) -> RequestBooks:
-        """Return what is remembered of callers' requests."""
+        """Return the history of callers' requests, for retries and limits."""
         return self._books
 
     @property
     def running(self) -> dict[Life, int]:
-        """Return a copy of this daemon's own counts by life."""
+        """Return this daemon's own requests in flight, by incarnation."""
         with self._lock:
             return dict(self._streams.own)
 
-    def call_on_change(self, tell: Callable[[], None]) -> None:
-        """Have something called when the counts have changed.
+    def call_on_change(self, listener: Callable[[], None]) -> None:
+        """Set the function to call when the counts have changed.
 
         Args:
-          tell: It must return at once.
+          listener: The function, which must not block.
         """
-        self._on_change = tell
+        self._on_change = listener
 
     def apply_table(self, table: RouteTable) -> bool:
-        """Put a configuration in force unless it is older.
+        """Put a configuration in force if its version is newer.
 
-        A reader that is served an old copy would bring back routes and keys
-        that were taken away; versions only ever rise within a process.
+        The version in force never decreases within a process: an old copy of
+        the configuration would bring back routes and keys that were removed.
 
         Args:
           table: The configuration.
 
         Returns:
-          Whether it is in force now and was not before.
+          Whether the configuration was put in force.
         """
         with self._lock:
             if self._table is not None and table.version <= self._table.version:
@@ -123,47 +127,47 @@
         """Replace the list of upstreams.
 
         Args:
-          change: Given the list, returns the new one.
+          change: Returns the new list, given the old one.
 
         Returns:
-          The list before.
+          The old list.
         """
         with self._lock:
-            before = self._upstreams
-            self._upstreams = change(before)
-            # What was measured at a life ends with it. Without this a worker
-            # that crashes again and again would fill the memory.
+            previous = self._upstreams
+            self._upstreams = change(previous)
+            # Statistics are dropped with their incarnation. Otherwise an
+            # upstream that crashes again and again would use up the memory.
             living = self._upstreams.lives()
-            for life in self._records.keys() - living:
-                self._records.pop(life)
+            for life in self._stats.keys() - living:
+                self._stats.pop(life)
         self._books.limits.keep_only(living)
         self._room.wake()
-        return before
+        return previous
 
     def hear(self, state: PeerState) -> None:
-        """Take in a peer's message.
+        """Apply the state that a peer sent.
 
         Args:
-          state: What the peer sent.
+          state: The peer's state.
         """
         now = self._clock.elapsed()
         with self._lock:
-            self._book = self._book.hear(state, now)
-            heard = self._book.heard[state.name].state
-            self._streams.hear(state.name, heard.running)
-            if now - self._forgotten_at > _FORGET_EVERY:
-                self._forgotten_at = now
-                self._book = self._book.forget(now)
-        self._books.hear(state, 1 + len(self._book.heard))
-        for brief in state.groups:
-            self._room.take_brief(brief)
+            self._peer_table = self._peer_table.hear(state, now)
+            received = self._peer_table.received[state.name].state
+            self._streams.hear(state.name, received.running)
+            if now - self._expiry_checked_at > _EXPIRY_CHECK_INTERVAL:
+                self._expiry_checked_at = now
+                self._peer_table = self._peer_table.expire_peers(now)
+        self._books.hear(state, 1 + len(self._peer_table.received))
+        for summary in state.groups:
+            self._room.take_brief(summary)
 
     def note_pause(self, upstream: Upstream, length: timedelta) -> None:
-        """Take note of a pause between two events of a stream.
+        """Record a pause between two events of a stream.
 
         Args:
-          upstream: Where the stream runs.
-          length: The pause.
+          upstream: The rank that runs the stream.
+          length: The length of the pause.
         """
         group = self._room.group_of(upstream)
         members = self._groups(upstream.service).get(group, ())
@@ -172,52 +176,56 @@
         self._room.note_pause(upstream, length, running)
 
     def group_running(self, service: str) -> int:
-        """Return the requests that all daemons have at a service.
+        """Return the number of requests in flight at a service.
 
         Args:
           service: The service's name.
 
         Returns:
-          Their number.
+          The number of requests of all daemons.
         """
         counts = self._counts()
         usable = self._upstreams.usable(service, self._clock.elapsed())
         return sum(counts.get(each.life, 0) for each in usable)
 
     def group_view(self, service: RoutedService, gap: timedelta) -> GroupView:
-        """Return what is known of a service's rank groups.
+        """Return the capacity and load of a service's rank groups.
 
         Args:
-          service: The service, which has engines.
-          gap: The longest pause that is in time.
+          service: The service, which has model engines.
+          gap: The target for the longest pause between events.
 
         Returns:
           The view of all groups together.
         """
         now = self._clock.elapsed()
-        counts = _count_streams(
+        counts = _count_by_group(
             self._groups(service.name),
             self._counts(),
             self._streams.own,
             self._books.backoffs,
         )
-        book = self._book
+        peer_table = self._peer_table
         return self._room.view(
-            service, gap, counts, book.live(now), book.send_interval
+            service,
+            gap,
+            counts,
+            peer_table.live(now),
+            peer_table.min_send_interval,
         )
 
     def take_upstream(
         self, service: RoutedService, tried: frozenset[str]
     ) -> Upstream | None:
-        """Choose an upstream and count a request there.
+        """Choose an upstream for a request and count the request there.
 
         Args:
           service: The service.
-          tried: Instances that are left out.
+          tried: Instances to exclude.
 
         Returns:
-          The upstream, or None if there is none that takes a request at
-          once. `give_back` ends the count.
+          The upstream, or None if none accepts a request at once. The caller
+          ends the count with `give_back`.
         """
         usable = self._books.limits.free(self.candidates(service, tried))
         counts = self._counts()
@@ -225,7 +233,7 @@
         with self._lock:
             if service.engine is None:
                 now = self._clock.elapsed()
-                chosen = choose_plain(usable, counts, self._records, now)
+                chosen = choose_plain(usable, counts, self._stats, now)
             else:
                 chosen = choose_rank(usable, counts, slow)
             if chosen is not None:
@@ -240,23 +248,24 @@
         tried: frozenset[str],
         longest: timedelta,
     ) -> Turn | None:
-        """Choose an upstream with a limit and count a request there.
+        """Reserve a request at an upstream with a rate limit and count it.
 
         Args:
           service: The service.
-          tried: Instances that are left out.
-          longest: The longest time for which the request may wait.
+          tried: Instances to exclude.
+          longest: The longest time that the request may wait.
 
         Returns:
-          The upstream and how long to wait, None if there is none in time.
+          The upstream and the time to wait, or None if no upstream accepts the
+          request in time. The caller ends the count with `give_back`.
         """
         usable = self.candidates(service, tried)
         with self._lock:
-            turn = self._books.limits.reserve(usable, longest)
-            if turn is not None:
-                self._streams.begin(turn.upstream.life)
+            reservation = self._books.limits.reserve(usable, longest)
+            if reservation is not None:
+                self._streams.begin(reservation.upstream.life)
         self._on_change()
-        return turn
+        return reservation
 
     def _groups(self, service: str) -> Mapping[str, list[Upstream]]:
         usable = self._upstreams.usable(service, self._clock.elapsed())
@@ -265,19 +274,20 @@
     def candidates(
         self, service: RoutedService, tried: frozenset[str]
     ) -> list[Upstream]:
-        """Return the upstreams that may take a request now.
+        """Return the upstreams that are eligible for a request now.
 
         Args:
           service: The service.
-          tried: Instances that are left out.
+          tried: Instances to exclude.
 
         Returns:
-          Plain upstreams, or the ranks of the group that is to take a stream.
+          The upstreams of a plain service, or the ranks of the group that is
+          chosen for a stream.
         """
         groups = self._groups(service.name)
         name = UNNAMED
         if service.engine is not None:
-            counts = _count_streams(
+            counts = _count_by_group(
                 groups,
                 self._counts(),
                 self._streams.own,
@@ -294,10 +304,10 @@
         return [each for each in members if each.instance not in tried]
 
     def give_back(self, upstream: Upstream) -> None:
-        """End the count of a request at an upstream.
+        """Release an upstream: end the count of a request there.
 
         Args:
-          upstream: What `take_upstream` returned.
+          upstream: The upstream, from `take_upstream` or `take_turn`.
         """
         with self._lock:
             self._streams.end(upstream.life)
@@ -307,44 +317,48 @@
     def note_answer(
         self, upstream: Upstream, took: timedelta, *, failed: bool
     ) -> None:
-        """Take note of how an upstream answered.
+        """Record the duration and outcome of an upstream's response.
 
         Args:
           upstream: The upstream.
-          took: How long the answer took.
-          failed: Whether it was a failure.
+          took: The time until the response.
+          failed: Whether the response counts as a failure.
         """
         now = self._clock.elapsed()
         with self._lock:
-            record = self._records.get(upstream.life, Record(now))
-            self._records[upstream.life] = note_answer(
-                record, now, took, failed=failed
+            stats = self._stats.get(upstream.life, Record(now))
+            self._stats[upstream.life] = note_answer(
+                stats, now, took, failed=failed
             )
 
     def note_miss(self, upstream: Upstream) -> None:
-        """Take note that an upstream could not be reached.
+        """Record that a connection to an upstream failed.
 
         Args:
           upstream: The upstream.
         """
         now = self._clock.elapsed()
         with self._lock:
-            record = self._records.get(upstream.life, Record(now))
-            self._records[upstream.life] = note_miss(record, now)
+            stats = self._stats.get(upstream.life, Record(now))
+            self._stats[upstream.life] = note_miss(stats, now)
 
     def _counts(self) -> Mapping[Life, int]:
-        """Return the requests of all daemons that are not silent."""
+        """Return the requests in flight of all daemons that are not timed out.
+
+        Counts of peers that have timed out are dropped first, not more often
+        than each 40 ms.
+        """
         now = self._clock.elapsed()
-        if now - self._silence_looked_at >= _SILENCE_LOOK:
+        if now - self._timeouts_checked_at >= _TIMEOUT_CHECK_INTERVAL:
             with self._lock:
-                self._silence_looked_at = now
-                live = {each.name for each in self._book.live(now)}
-                for gone in self._streams.peers - live:
-                    self._streams.drop(gone)
+                self._timeouts_checked_at = now
+                live = {each.name for each in self._peer_table.live(now)}
+                for timed_out in self._streams.peers - live:
+                    self._streams.drop(timed_out)
         return self._streams.totals
 
 
-def _count_streams(
+def _count_by_group(
     groups: Mapping[str, list[Upstream]],
     running: Mapping[Life, int],
     own: Mapping[Life, int],
@@ -361,5 +375,5 @@
     }
 
 
-def _nothing() -> None:
-    """Do nothing, until a listener is set."""
+def _do_nothing() -> None:
+    """Do nothing; the default until a listener is set."""
--- a/linnetwind/gateway_state_test.py
+++ b/linnetwind/gateway_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a gateway believes of an upstream that starts again."""
+"""Tests of the shared state of a gateway when an upstream restarts."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -35,7 +35,7 @@
 
 
 def _start(state, born_ms, service='plain'):
-    """Register a life of upstream `a`, at an offset as its start."""
+    """Register an incarnation of upstream `a` at the offset `born_ms`."""
     entry = make_upstream('a', service=service, born_ms=born_ms)
     _register(state, born_ms, entry)
     return entry
@@ -45,105 +45,108 @@
     return make_peer('b', running=running, groups=groups, counter=counter)
 
 
-def test_requests_at_the_life_before_take_no_place_of_the_next(state):
-    # Six streams run at a worker that crashes and starts again; their ends
-    # come in one by one. Counted for the next life they took all its slots.
+def test_requests_of_the_previous_incarnation_use_no_slots_of_the_next(state):
+    # Six requests are in flight at an upstream that crashes and restarts, and
+    # they end one by one. Counted for the new incarnation, they took all slots.
     _start(state, 5)
-    taken = [state.take_upstream(PLAIN, frozenset()) for _call in range(6)]
+    acquired = [state.take_upstream(PLAIN, frozenset()) for _call in range(6)]
     _start(state, 9)
     assert state.group_running('plain') == 0
     now = state.take_upstream(PLAIN, frozenset())
-    for each in taken:
+    for each in acquired:
         state.give_back(each)
     assert state.group_running('plain') == 1
     state.give_back(now)
     assert state.running == {}
 
 
-def test_a_peers_requests_at_the_life_before_are_not_counted(state):
-    # The peer holds an older list, and counts for the life that is over.
-    before = _start(state, 5)
-    state.hear(_peer({before.life: 4}))
+def test_a_peers_requests_at_the_previous_incarnation_do_not_count(state):
+    # The peer has an older list of upstreams, and its counts are for the
+    # incarnation that has ended.
+    previous = _start(state, 5)
+    state.hear(_peer({previous.life: 4}))
     assert state.group_running('plain') == 4
     _start(state, 9)
     assert state.group_running('plain') == 0
 
 
-def test_failures_of_the_life_before_do_not_bar_the_next(state):
-    # A worker could not be reached, and rests. Started again, it is new; the
-    # other worker of the service got all the calls.
-    before = _start(state, 5)
+def test_failures_of_the_previous_incarnation_do_not_bar_the_next(state):
+    # An upstream could not be reached and gets no requests for some time. When
+    # it restarted, the other upstream of the service still got all the calls.
+    previous = _start(state, 5)
     _register(state, 6, make_upstream('b', 81))
     busy = next(
         each
         for each in state.upstreams.usable('plain', SECOND)
         if each.instance == 'b'
     )
-    state.note_miss(before)
-    state.note_answer(before, 900 * MS, failed=True)
+    state.note_miss(previous)
+    state.note_answer(previous, 900 * MS, failed=True)
     state.note_answer(busy, 90 * MS, failed=False)
     state.take_upstream(PLAIN, frozenset({'a'}))
-    after = _start(state, 9)
-    # Late news of the life before.
-    state.note_miss(before)
-    assert state.take_upstream(PLAIN, frozenset()) == after
+    restarted = _start(state, 9)
+    # A late failure of the previous incarnation.
+    state.note_miss(previous)
+    assert state.take_upstream(PLAIN, frozenset()) == restarted
 
 
-def _brief(group, *members, slow=()):
+def _summary(group, *members, slow=()):
     return GroupBrief('model', group, 1, True, 2.0, 0, members, slow)
 
 
-def test_a_slow_rank_that_starts_again_is_not_taken_for_slow(state):
-    before = _start(state, 5, 'model')
+def test_a_slow_rank_that_restarts_does_not_count_as_slow(state):
+    previous = _start(state, 5, 'model')
     _register(state, 6, make_upstream('b', 81, 'model', slots=1))
-    slow = (before.life,)
-    state.hear(_peer({}, _brief('g', before.life, 'b', slow=slow)))
+    slow = (previous.life,)
+    state.hear(_peer({}, _summary('g', previous.life, 'b', slow=slow)))
     first = [state.take_upstream(MODEL, frozenset()) for _call in range(3)]
     assert {each.instance for each in first} == {'b'}
-    after = _start(state, 9, 'model')
-    state.hear(_peer({}, _brief('g', after.life, 'b', slow=slow), counter=2))
-    assert state.take_upstream(MODEL, frozenset()) == after
+    restarted = _start(state, 9, 'model')
+    state.hear(
+        _peer({}, _summary('g', restarted.life, 'b', slow=slow), counter=2)
+    )
+    assert state.take_upstream(MODEL, frozenset()) == restarted
 
 
-def test_a_rank_of_no_group_yet_gets_no_streams(state):
-    # A worker has started, and its group forms anew with it. Streams that it
-    # were given would only be refused there.
+def test_a_rank_without_a_group_gets_no_streams(state):
+    # A rank has started, and its group has not formed anew with it yet. It
+    # would refuse any stream.
     known = _start(state, 5, 'model')
     _register(state, 6, make_upstream('b', 81, 'model'))
-    without_news = {
+    without_groups = {
         state.take_upstream(MODEL, frozenset()).instance for _call in range(40)
     }
-    assert without_news == {known.instance, 'b'}
-    state.hear(_peer({}, _brief('g', known.life)))
+    assert without_groups == {known.instance, 'b'}
+    state.hear(_peer({}, _summary('g', known.life)))
     for _call in range(4):
         assert state.take_upstream(MODEL, frozenset()) == known
 
 
-def test_a_stream_that_its_group_cut_goes_on_in_another(state):
-    # A rank dies, and all streams of its group break off. Tried again at its
-    # neighbours they are refused, since the whole group is broken, and the
-    # caller gets half an answer though another group of the service is sound.
+def test_a_stream_that_its_group_interrupted_resumes_in_another(state):
+    # A rank dies, and all streams of its group are interrupted. Other ranks of
+    # the group refuse their retries, since the whole group is broken, and the
+    # callers got half a response although another group was healthy.
     for number in range(4):
         _register(
             state, number, make_upstream(f'r{number}', 80 + number, 'model')
         )
-    state.hear(_peer({}, _brief('a', 'r0', 'r1'), _brief('b', 'r2', 'r3')))
+    state.hear(_peer({}, _summary('a', 'r0', 'r1'), _summary('b', 'r2', 'r3')))
     for _call in range(20):
-        taken = state.take_upstream(MODEL, frozenset({'r0'}))
-        assert taken.instance in {'r2', 'r3'}
+        acquired = state.take_upstream(MODEL, frozenset({'r0'}))
+        assert acquired.instance in {'r2', 'r3'}
 
 
-def test_records_of_lives_that_are_over_are_dropped(state):
-    # A worker that crashes every few seconds must not fill the memory.
+def test_statistics_of_ended_incarnations_are_dropped(state):
+    # An upstream that crashes every few seconds must not use up the memory.
     for born_ms in range(50):
         state.note_miss(_start(state, born_ms))
     _start(state, 50)
-    assert len(state._records) <= 1
+    assert len(state._stats) <= 1
 
 
-def test_what_a_silent_peer_had_is_not_counted():
-    # A host is cut off with streams that run. Counted for ever they would
-    # keep their places from others.
+def test_requests_of_a_peer_that_timed_out_do_not_count():
+    # A host is cut off while its streams run. Counted for ever, they would
+    # occupy slots that others could use.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
@@ -151,7 +154,7 @@
     clock.advance(SECOND)
     state.hear(_peer({entry.life: 4}))
     assert state.group_running('plain') == 4
-    clock.advance(state.book.silence)
+    clock.advance(state.peer_table.peer_timeout)
     assert state.group_running('plain') == 0
     state.hear(_peer({entry.life: 2}, counter=2))
     assert state.group_running('plain') == 2
--- a/linnetwind/gateway_stop.py
+++ b/linnetwind/gateway_stop.py
@@ -1,4 +1,4 @@
-"""When a gateway that was told to stop takes requests and when it ends."""
+"""Graceful shutdown: until when a stopping gateway accepts requests."""
 
 import enum
 from collections.abc import Callable
@@ -10,204 +10,230 @@
 from linnetwind.stop_turns import (
     Fleet,
     Host,
-    Told,
-    fleet_of,
+    StopTime,
     is_awaited,
+    keeps_serving,
     may_drain,
-    serves_on,
+    reachable_fleet,
 )
 
-# The platform asks each daemon once a second whether it is ready and takes it
-# out after two questions without a 200; until then it sends connections. Its
-# callers come again within the same data centre.
-_OUT_MS = 2_100
-OUT = timedelta(milliseconds=_OUT_MS)
-# A daemon for which nobody waits serves this long: until it is out for sure.
-_NOTICE_MS = 2_600
-NOTICE = timedelta(milliseconds=_NOTICE_MS)
-# A daemon that serves for others says for this long that it is ready. Two
-# questions later, at 3.5 s, it is out; at 4 s it has to be.
-_READY_MS = 1_500
-READY_FOR = timedelta(milliseconds=_READY_MS)
-# The time from SIGTERM until the streams of a daemon end for which others
-# wait. They are told to stop too, and have to drain after it.
-_TURN_MS = 3_000
-TURN = timedelta(milliseconds=_TURN_MS)
-# The part of the time for stopping after which newcomers are known to be sent
-# elsewhere even if the platform is not that fast. With 1 or 2 s in all, a
-# daemon took requests up to its end: 11 and 12 were cut in a test.
-CLOSES_AT = 0.6
-# The part of the time for stopping in which a request is expected to end
-# that is begun; streams may last longer than any before.
-USE_OF_STOP = 0.9
-# The part of it after which requests are cut; the rest is for the process to
-# end before it is killed. What lasts into the last sixth may be cut.
-CUT_AT = 0.96
-# While no daemon takes a stream: a drain of some 2 s is halfway, and then the
-# next process starts within 1 s.
-_RETRY_LATER_MS = 1_500
-_RETRY_LATER = timedelta(milliseconds=_RETRY_LATER_MS)
+# The time after which the platform sends no more connections to a daemon that
+# is not ready. The platform sends a readiness probe each second and takes the
+# daemon out of rotation after two probes without a 200. A rejected caller
+# retries within the same data centre.
+_REMOVAL_DELAY_MS = 2_100
+REMOVAL_DELAY = timedelta(milliseconds=_REMOVAL_DELAY_MS)
+# How long a stopping daemon serves if no other daemon waits for it to drain:
+# until it is certainly out of rotation.
+_NOTICE_PERIOD_MS = 2_600
+NOTICE_PERIOD = timedelta(milliseconds=_NOTICE_PERIOD_MS)
+# How long a daemon still reports that it is ready if it has to serve while
+# others drain. Two probes later, 3.5 s after SIGTERM, it is out of rotation,
+# which has to be so at 4 s.
+_READY_PERIOD_MS = 1_500
+READY_PERIOD = timedelta(milliseconds=_READY_PERIOD_MS)
+# The time from SIGTERM within which streams have to end on a daemon that other
+# stopping daemons wait for, since these have to drain after it.
+_AWAITED_DRAIN_MS = 3_000
+AWAITED_DRAIN_TIME = timedelta(milliseconds=_AWAITED_DRAIN_MS)
+# The fraction of the grace period after which new callers are expected to be
+# routed elsewhere, even if the platform is not that fast. Without it, a daemon
+# with a grace period of 1 or 2 s accepted requests up to its end, and the end
+# of the process cut 11 and 12 of them in a test.
+CLOSE_FRACTION = 0.6
+# The fraction of the grace period within which an accepted request is expected
+# to end. The rest is a reserve, since a stream may last longer than all before.
+COMPLETION_FRACTION = 0.9
+# The fraction of the grace period after which the process ends and cuts the
+# requests in flight; it needs the rest to end before it is killed. Requests
+# that run into the last sixth of the grace period may be cut.
+CUT_FRACTION = 0.96
+# The retry delay while no daemon accepts a stream: the rest of a drain that
+# takes about 2 s and is halfway done, and the restart within 1 s.
+_DRAINED_RETRY_DELAY_MS = 1_500
+_DRAINED_RETRY_DELAY = timedelta(milliseconds=_DRAINED_RETRY_DELAY_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class StopPlan:
-    """The monotonic times of a stop.
+    """The monotonic times of a graceful shutdown.
 
-    It begins at `begun_at`; from `closes_at` on newcomers are expected to go
-    elsewhere. What is begun should end by `ends_at`; at `cuts_at` the process
-    ends with whatever still runs.
+    It starts with the stop signal at `stop_started_at`. From `closes_at` on new
+    callers are expected to be routed to other daemons. Requests are only
+    accepted if they should end by `ends_at`. At `cuts_at` the process ends and
+    cuts the requests in flight.
     """
 
-    begun_at: timedelta
+    stop_started_at: timedelta
     closes_at: timedelta
     ends_at: timedelta
     cuts_at: timedelta
 
 
-def plan_stop(begun_at: timedelta, stop_within: timedelta) -> StopPlan:
-    """Return the times of a stop.
+def plan_stop(stop_started_at: timedelta, stop_within: timedelta) -> StopPlan:
+    """Return the times of a graceful shutdown.
 
     Args:
-      begun_at: The monotonic time at which SIGTERM was heard.
-      stop_within: The time until the process is killed.
+      begun_at: The monotonic time at which SIGTERM was received.
+      stop_within: The grace period: the time until the process is killed.
 
     Returns:
       The times.
     """
     return StopPlan(
-        begun_at,
-        begun_at + min(NOTICE, stop_within * CLOSES_AT),
-        begun_at + stop_within * USE_OF_STOP,
-        begun_at + stop_within * CUT_AT,
+        stop_started_at,
+        stop_started_at + min(NOTICE_PERIOD, stop_within * CLOSE_FRACTION),
+        stop_started_at + stop_within * COMPLETION_FRACTION,
+        stop_started_at + stop_within * CUT_FRACTION,
     )
 
 
-class Phase(enum.Enum):
-    """What a daemon that was told to stop does."""
+class StopPhase(enum.Enum):
+    """The phase of a stopping daemon.
+
+    SERVES: it accepts requests, since callers are still routed to it or other
+    daemons have to drain first. HURRIES: it is its turn to drain and other
+    daemons wait for it; it accepts only requests that end soon. DRAINS: it
+    accepts only requests whose own time limit ends in time.
+    """
 
     SERVES = 'serves'
     HURRIES = 'hurries'
     DRAINS = 'drains'
 
 
-def phase_of(plan: StopPlan, now: timedelta, own: Host, fleet: Fleet) -> Phase:
-    """Return what a daemon that was told to stop does now.
+def stop_phase(
+    plan: StopPlan, now: timedelta, own: Host, fleet: Fleet
+) -> StopPhase:
+    """Return the current phase of a stopping daemon.
 
     Args:
-      plan: The times of its stop.
+      plan: The times of its shutdown.
       now: The monotonic time.
       own: The daemon.
-      fleet: The others.
+      fleet: The other daemons.
 
     Returns:
       The phase.
     """
     if not may_drain(own, fleet):
-        return Phase.SERVES
+        return StopPhase.SERVES
     if now >= plan.closes_at:
-        return Phase.DRAINS
-    return Phase.HURRIES if is_awaited(own, fleet) else Phase.SERVES
+        return StopPhase.DRAINS
+    return StopPhase.HURRIES if is_awaited(own, fleet) else StopPhase.SERVES
 
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """When a request ends: at the latest, and as others of its kind did."""
+    """The monotonic times at which a request ends.
+
+    `latest` is given by its time limit, `expected` by the durations of earlier
+    requests of its kind.
+    """
 
     latest: timedelta
     expected: timedelta
 
 
 def may_begin(
-    plan: StopPlan, now: timedelta, ending: Ending, phase: Phase
+    plan: StopPlan, now: timedelta, ending: Ending, phase: StopPhase
 ) -> bool:
-    """Decide whether a stopping daemon begins a request.
+    """Decide whether a stopping daemon accepts a request.
 
-    A request that came on an idle connection just after the notice was
-    passed on whatever time was left; its caller saw an answer that broke
-    off, of a request that may have run. Refused as not run, it is sent to
-    another daemon at once. What ends by its own time limit cannot be cut.
+    A request that does not end in time is cut when the process ends: its caller
+    receives an interrupted response to a request that may have run. If the
+    request is rejected as not run, the caller retries it at another daemon at
+    once. This also holds for a request on an idle connection just after the
+    notice period. A request whose own time limit ends in time cannot be cut.
 
     Args:
-      plan: The times of the stop.
+      plan: The times of the shutdown.
       now: The monotonic time.
       ending: When the request ends.
-      phase: What the daemon does now.
+      phase: The current phase of the daemon.
 
     Returns:
-      Whether the request is begun.
+      Whether the request is accepted.
     """
     if ending.latest <= plan.ends_at:
         return True
     match phase:
-        case Phase.SERVES:
+        case StopPhase.SERVES:
             return now < plan.closes_at or ending.expected <= plan.ends_at
-        case Phase.HURRIES:
-            return ending.expected <= min(plan.begun_at + TURN, plan.ends_at)
-        case Phase.DRAINS:
+        case StopPhase.HURRIES:
+            return ending.expected <= min(
+                plan.stop_started_at + AWAITED_DRAIN_TIME, plan.ends_at
+            )
+        case StopPhase.DRAINS:
             return False
 
 
 def retry_after(
     plan: StopPlan, now: timedelta, own: Host, fleet: Fleet
 ) -> timedelta:
-    """Return when a caller may come back that is refused now.
+    """Return the delay after which a rejected caller should retry.
 
-    A caller comes back within the same data centre, and only once. Told to
-    come at once where no other daemon was, it met the same one again.
+    A caller retries once, within the same data centre. If it retried at once
+    while no other daemon serves there, it would reach the same daemon again.
 
     Args:
-      plan: The times of the stop.
+      plan: The times of the shutdown.
       now: The monotonic time.
       own: This daemon.
-      fleet: The others.
+      fleet: The other daemons.
 
     Returns:
-      The time after which another daemon serves it.
+      The time after which another daemon is expected to serve the caller.
     """
-    phase = phase_of(plan, now, own, fleet)
+    phase = stop_phase(plan, now, own, fleet)
     others = [
         each
         for each in fleet.serving
-        if each.site == own.site and serves_on(each, own, fleet)
+        if each.site == own.site and keeps_serving(each, own, fleet)
     ]
-    if phase is not Phase.HURRIES:
-        # Those that were told too may have as little time as this one.
-        others = [each for each in others if each.told is None]
+    if phase is not StopPhase.HURRIES:
+        # Other stopping daemons may have as little time left as this one.
+        others = [each for each in others if each.stop_time is None]
     if others:
         return timedelta()
-    stays = any(each.told is None for each in fleet.serving)
-    if phase is Phase.HURRIES or stays:
-        # The same for all, since those that come back together start their
-        # streams together and make all others late.
-        return OUT if now < plan.begun_at + OUT else timedelta()
-    # The platform sends callers back to those that are not ready.
-    return _RETRY_LATER
+    any_stays = any(each.stop_time is None for each in fleet.serving)
+    if phase is StopPhase.HURRIES or any_stays:
+        # The same delay for each caller rather than the same moment for all:
+        # callers that retry together start their streams together and make all
+        # other streams late.
+        return (
+            REMOVAL_DELAY
+            if now < plan.stop_started_at + REMOVAL_DELAY
+            else timedelta()
+        )
+    # If no daemon is ready, the platform routes callers to those that are not.
+    return _DRAINED_RETRY_DELAY
 
 
 def make_stop(
     clock: Clock,
     stop_within: timedelta,
     own: Host,
-    book: Callable[[], PeerBook],
+    peer_table: Callable[[], PeerBook],
 ) -> 'GatewayStop':
-    """Return the stop of a daemon that hears from its peers.
+    """Return the graceful shutdown of a daemon that has peers.
 
     Args:
       clock: The clock.
       stop_within: The time from SIGTERM until the process is killed.
       own: This daemon.
-      book: Returns what is known of the peers.
+      peer_table: Returns the current table of peers.
 
     Returns:
-      The stop, not begun.
+      The shutdown, not started.
     """
     return GatewayStop(
-        clock, stop_within, own, lambda now: fleet_of(book(), now)
+        clock, stop_within, own, lambda now: reachable_fleet(peer_table(), now)
     )
 
 
 class GatewayStop:
-    """The stop of one gateway process, for all its threads."""
+    """The graceful shutdown of one gateway process, for all its threads."""
 
     def __init__(
         self,
@@ -216,13 +242,13 @@
         own: Host,
         fleet: Callable[[timedelta], Fleet],
     ) -> None:
-        """Start as a process that nobody has told to stop.
+        """Start as a process that has received no stop signal.
 
         Args:
           clock: The clock.
           stop_within: The time from SIGTERM until the process is killed.
           own: This daemon.
-          fleet: Returns what is known of the others at a monotonic time.
+          fleet: Returns the other daemons at a monotonic time.
         """
         self._clock = clock
         self._stop_within = stop_within
@@ -232,39 +258,42 @@
         self._is_ending = False
 
     def begin(self) -> None:
-        """Take note that the process was told to stop."""
+        """Start the shutdown: the process has received a stop signal."""
         self._plan = plan_stop(self._clock.elapsed(), self._stop_within)
 
     def is_begun(self) -> bool:
-        """Return whether the process was told to stop."""
+        """Return whether the process has received a stop signal."""
         return self._plan is not None
 
-    def says_ready(self) -> bool:
-        """Return whether the platform is to send callers here."""
+    def reports_ready(self) -> bool:
+        """Return whether the platform should route callers here."""
         plan = self._plan
         if plan is None:
             return True
         now = self._clock.elapsed()
-        if now >= plan.begun_at + READY_FOR:
+        if now >= plan.stop_started_at + READY_PERIOD:
             return False
         return not may_drain(self._own(plan), self._fleet(now))
 
     def is_draining(self) -> bool:
-        """Return whether connections without a request are closed now."""
+        """Return whether idle connections are to be closed now."""
         plan = self._plan
         if plan is None:
             return False
-        return self._phase(plan, self._clock.elapsed()) is not Phase.SERVES
+        return self._phase(plan, self._clock.elapsed()) is not StopPhase.SERVES
 
     def may_end(self) -> bool:
-        """Return whether the process ends once nothing is open."""
+        """Return whether the process may end once no connection is open."""
         plan = self._plan
-        if plan is None or self._clock.elapsed() < plan.begun_at + OUT:
+        if (
+            plan is None
+            or self._clock.elapsed() < plan.stop_started_at + REMOVAL_DELAY
+        ):
             return False
         return self.is_draining()
 
     def is_over(self) -> bool:
-        """Return whether the time for what still runs is over."""
+        """Return whether the process ends now and cuts requests in flight."""
         plan = self._plan
         return plan is not None and self._clock.elapsed() >= plan.cuts_at
 
@@ -273,25 +302,26 @@
         plan = self._plan
         if plan is None:
             return timedelta()
-        killed_at = plan.begun_at + self._stop_within
+        killed_at = plan.stop_started_at + self._stop_within
         return max(timedelta(), killed_at - self._clock.elapsed())
 
     def end(self) -> None:
-        """Take note that the process ends: nothing is begun any more.
+        """Accept no request any more, since the process ends.
 
-        A call that came while the process wrote its last lines was passed on,
-        since its own limit was short enough, and broke off with the process.
+        Without this, a call with a short enough time limit that arrives while
+        the process writes its last log lines would be forwarded, and cut when
+        the process ends.
         """
         self._is_ending = True
 
     def may_begin(self, ending: Ending) -> bool:
-        """Return whether a request may be begun now.
+        """Return whether a request may be accepted now.
 
         Args:
-          ending: When the request ends, in monotonic time.
+          ending: When the request ends.
 
         Returns:
-          Whether it may.
+          Whether it may be accepted.
         """
         plan = self._plan
         if plan is None:
@@ -302,14 +332,14 @@
         return may_begin(plan, now, ending, self._phase(plan, now))
 
     def has_time(self, ending: Ending) -> bool:
-        """Return whether a request that waits is still worth its place.
+        """Return whether a queued request should stay in the wait queue.
 
         Args:
-          ending: When the request ends if it is begun now.
+          ending: When the request ends if it starts now.
 
         Returns:
-          Whether that is before requests are cut, or callers do not know of
-          the stop yet.
+          Whether it ends before requests are cut, or callers are still routed
+          to this daemon.
         """
         plan = self._plan
         if plan is None or self._clock.elapsed() < plan.closes_at:
@@ -317,15 +347,18 @@
         return min(ending.latest, ending.expected) <= plan.ends_at
 
     def retry_after(self) -> timedelta:
-        """Return when a caller may come back that is refused now."""
+        """Return the delay after which a rejected caller should retry."""
         plan = self._plan
         if plan is None:
             return timedelta()
         now = self._clock.elapsed()
         return retry_after(plan, now, self._own(plan), self._fleet(now))
 
-    def _phase(self, plan: StopPlan, now: timedelta) -> Phase:
-        return phase_of(plan, now, self._own(plan), self._fleet(now))
+    def _phase(self, plan: StopPlan, now: timedelta) -> StopPhase:
+        return stop_phase(plan, now, self._own(plan), self._fleet(now))
 
     def _own(self, plan: StopPlan) -> Host:
-        return replace(self._host, told=Told(self._host.name, plan.begun_at))
+        return replace(
+            self._host,
+            stop_time=StopTime(self._host.name, plan.stop_started_at),
+        )
--- a/linnetwind/peer_book.py
+++ b/linnetwind/peer_book.py
@@ -1,10 +1,12 @@
-"""What the gateway daemons know of each other, as pure functions.
-
-Each daemon sends its state to all others several times a second. From it
-the others count the streams that run at each upstream, learn that a newer
-configuration exists, and agree on who plans the expert maps: the daemon
-whose name comes first. Two that think so at once do no harm, since the
-rollout of a map is safe with any number of planners.
+"""The table of peer gateway daemons, and the choice of a leader among them.
+
+Each daemon sends its state to all others several times a second. The others
+use it to count the requests in flight at each upstream, to detect a newer
+configuration, and to elect the daemon that plans the expert maps: the one on
+the most powerful host and, of equals, the one whose name sorts first. Two
+daemons that consider themselves the leader at once do no harm, since the
+rollout of a map is safe with any number of planners. All functions here are
+pure.
 """
 
 from collections.abc import Mapping
@@ -18,31 +20,33 @@
 from linnetwind.lives import Life
 from linnetwind.upstream_limits import ServiceDemand, ToldLimit
 
-# A state goes out this often at least, and after a change at most this often.
-_SEND_INTERVAL_MS = 150
-SEND_INTERVAL = timedelta(milliseconds=_SEND_INTERVAL_MS)
-_LEAST_INTERVAL_MS = 30
-LEAST_INTERVAL = timedelta(milliseconds=_LEAST_INTERVAL_MS)
-# The states that a daemon hears from all its peers in a second. Decoding and
-# taking in one took 0.5 ms (16 daemons, 72 ranks): sent every 30 ms, they took
-# a quarter of a core.
-_HEARD_PER_S = 100
-# Three states in a row; some datagrams are lost, three hardly ever. While the
-# planner is frozen with a pass held, the group stands still for this long.
-_LOST_IN_A_ROW = 3
-# After this a peer is dropped from the list of addresses to send to, so that
-# replaced hosts do not collect there.
-_PEER_FORGOTTEN_S = 30
-PEER_FORGOTTEN = timedelta(seconds=_PEER_FORGOTTEN_S)
+# The longest time between two states that a daemon sends, and the shortest
+# time between two states when its counts change.
+_MAX_SEND_INTERVAL_MS = 150
+MAX_SEND_INTERVAL = timedelta(milliseconds=_MAX_SEND_INTERVAL_MS)
+_MIN_SEND_INTERVAL_MS = 30
+MIN_SEND_INTERVAL = timedelta(milliseconds=_MIN_SEND_INTERVAL_MS)
+# The states that a daemon receives from all its peers in a second. Decoding
+# and applying one takes 0.5 ms with 16 daemons and 72 ranks: sent every 30 ms,
+# they took a quarter of a core.
+_MAX_RECEIVED_PER_S = 100
+# A peer counts as gone after this many states are missing in a row: single
+# datagrams are lost, three in a row hardly ever. The timeout has to be short,
+# since a group stops for as long when its planner freezes while holding a pass.
+_MAX_LOST_IN_A_ROW = 3
+# A peer that was silent for this long is removed from the addresses to send
+# to, so that addresses of replaced hosts do not accumulate.
+_PEER_EXPIRY_S = 30
+PEER_EXPIRY = timedelta(seconds=_PEER_EXPIRY_S)
 
 
 @dataclass(frozen=True, slots=True)
 class GroupBrief:
-    """What the planner tells all of a rank group.
+    """The state of a rank group, as its planner advertises it.
 
-    `skew` is the slowest rank's expert load over the mean, `opens_in_ms` the
-    time until a broken group is expected to open. `members` are the lives of
-    its ranks, `slow` those whose rank runs slowly.
+    `skew` is the expert load of the most loaded rank divided by the mean,
+    `opens_in_ms` the expected time until a broken group opens. `members` are
+    the incarnations of its ranks, `slow` the ones whose rank runs slowly.
     """
 
     service: str
@@ -57,9 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PassPart:
-    """The milliseconds that each stream adds to a pass of a group.
+    """The time that each stream adds to a pass of a group.
 
-    They were measured by `pauses` pauses between events.
+    `part_ms` is the time in milliseconds, estimated from `pauses` pauses
+    between events.
     """
 
     group: str
@@ -69,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLoad:
-    """What a daemon sees of a service's streams.
+    """The load of a service's streams on one daemon.
 
-    `waiting` streams wait for a place, `arrivals_per_s` have come in the last
-    second, and `parts` tell of each of its groups.
+    `waiting` streams wait for a permit, `arrivals_per_s` arrived in the last
+    second, and `parts` holds the pass time per stream of each group.
     """
 
     service: str
@@ -83,18 +88,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """The state that a daemon sends to the others.
-
-    `running` counts the requests that it has at each life of an upstream;
-    `loads` tells of its streams; `members` are the addresses it knows of;
-    `can_plan` says that it reaches all ranks. `refused` are the subjects
-    whose callers were told to come back. `counter` grows with each message
-    of one `start_id`. `stopping_ms` is how long ago a daemon that is
-    `leaving` was told to stop, `site` the data centre of its callers. `power`
-    tells how much its host bears, for the choice of the planner. `crashes` are
-    those of upstreams under requests, `answered` the requests that were
-    answered after one. `limits` are what upstreams with a limit said to this
-    daemon, `demands` how much it has for their services.
+    """The state that a daemon sends to its peers.
+
+    `running` counts the daemon's requests in flight by incarnation of their
+    upstream, and `loads` describes its streams by service. `members` are the
+    daemon addresses that it knows, `can_plan` whether it reaches all ranks.
+    `refused` are the fingerprints of requests whose callers were rejected and
+    asked to retry. `counter` increases with each message of one `start_id`.
+    `stopping_ms` is the time since a `leaving` daemon received its stop
+    signal, `site` the data centre of its callers. `power` is the relative
+    capacity of its host, for the choice of the planner. `crashes` are crashes
+    of upstreams while they ran a request, `answered` the requests that were
+    answered after such a crash. `limits` are the request rates that upstreams
+    named to this daemon, `demands` its request rates for their services.
     """
 
     name: str
@@ -119,8 +125,12 @@
 
 
 @dataclass(frozen=True)
-class Heard:
-    """A peer's newest state, when it came, and since when it serves."""
+class ReceivedState:
+    """A peer's newest state, with monotonic times by the receiver's clock.
+
+    `at` is when the state arrived. `serves_since` is when the peer was first
+    seen with a configuration since its start, or None if it has none yet.
+    """
 
     state: PeerState
     at: timedelta
@@ -129,91 +139,101 @@
 
 @dataclass(frozen=True)
 class PeerBook:
-    """The newest state of each peer, and addresses to send to."""
+    """The newest state received from each peer, and the addresses to send to.
+
+    `own` is this daemon's address, which is not among the others.
+    """
 
     own: Address
-    heard: Mapping[str, Heard] = field(default_factory=dict)
-    known: frozenset[Address] = frozenset()
+    received: Mapping[str, ReceivedState] = field(default_factory=dict)
+    known_addresses: frozenset[Address] = frozenset()
 
     def hear(self, state: PeerState, now: timedelta) -> Self:
-        """Return the book after a message.
+        """Return the table updated with a state that a peer sent.
 
         Args:
-          state: What a peer sent.
+          state: The peer's state.
           now: The monotonic time.
 
         Returns:
-          The book; unchanged by a message that was overtaken.
+          The table; unchanged if a newer state of the peer arrived before.
         """
-        before = self.heard.get(state.name)
-        if before is not None and _overtaken(before.state, state):
+        before = self.received.get(state.name)
+        if before is not None and _is_superseded(before.state, state):
             return self
-        named = frozenset((state.address, *state.members))
+        addresses = frozenset((state.address, *state.members))
         return replace(
             self,
-            heard={**self.heard, state.name: _heard(before, state, now)},
-            known=self.known | (named - {self.own}),
+            received={
+                **self.received,
+                state.name: _received(before, state, now),
+            },
+            known_addresses=self.known_addresses | (addresses - {self.own}),
         )
 
     @property
-    def send_interval(self) -> timedelta:
-        """Return the least time between two states of a daemon.
+    def min_send_interval(self) -> timedelta:
+        """Return the shortest time between two states that a daemon sends.
 
-        It grows with the number of daemons, so that what each of them hears
-        does not.
+        It grows with the number of daemons, so that the number of states that
+        each daemon receives in a second is bounded.
         """
-        share = timedelta(seconds=len(self.heard) / _HEARD_PER_S)
-        return max(LEAST_INTERVAL, share)
+        share = timedelta(seconds=len(self.received) / _MAX_RECEIVED_PER_S)
+        return max(MIN_SEND_INTERVAL, share)
 
     @property
-    def silence(self) -> timedelta:
-        """Return the time after which a peer counts as gone."""
-        return _LOST_IN_A_ROW * max(SEND_INTERVAL, self.send_interval)
+    def peer_timeout(self) -> timedelta:
+        """Return the time without a state after which a peer counts as gone."""
+        return _MAX_LOST_IN_A_ROW * max(
+            MAX_SEND_INTERVAL, self.min_send_interval
+        )
 
     def live(self, now: timedelta) -> list[PeerState]:
-        """Return the states of the peers that were heard just now.
+        """Return the states of the peers that have not timed out.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          Their states.
+          The newest state of each.
         """
-        silence = self.silence
+        peer_timeout = self.peer_timeout
         return [
             each.state
-            for each in self.heard.values()
-            if now - each.at < silence
+            for each in self.received.values()
+            if now - each.at < peer_timeout
         ]
 
-    def forget(self, now: timedelta) -> Self:
-        """Return the book without peers that have been silent for long.
+    def expire_peers(self, now: timedelta) -> Self:
+        """Return the table without peers that were silent for `PEER_EXPIRY`.
 
         Args:
           now: The monotonic time.
 
         Returns:
-          The book.
+          The table, without the addresses of these peers.
         """
-        heard = {
+        received = {
             name: each
-            for name, each in self.heard.items()
-            if now - each.at < PEER_FORGOTTEN
+            for name, each in self.received.items()
+            if now - each.at < PEER_EXPIRY
         }
         gone = {
             each.state.address
-            for name, each in self.heard.items()
-            if name not in heard
+            for name, each in self.received.items()
+            if name not in received
         }
-        return replace(self, heard=heard, known=self.known - gone)
+        return replace(
+            self, received=received, known_addresses=self.known_addresses - gone
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
-    """A daemon that may plan the expert maps.
+class PlannerCandidate:
+    """A daemon that may be elected to plan the expert maps.
 
-    `power` tells how much its host bears, `can_plan` whether it reaches all
-    ranks.
+    `power` is the relative capacity of its host, `can_plan` whether it reaches
+    all ranks.
     """
 
     name: str
@@ -221,73 +241,82 @@
     can_plan: bool
 
 
-def leader(book: PeerBook, own: Candidate, now: timedelta) -> str:
-    """Return the daemon that plans the expert maps.
+def leader(peer_table: PeerBook, own: PlannerCandidate, now: timedelta) -> str:
+    """Return the name of the daemon that plans the expert maps.
 
-    A plan for hundreds of ranks takes a large part of a small host's core,
-    and their counts a large part of its link; the streams of that host then
-    pause for longer than those of the others.
+    The planner should run on a powerful host: a plan for hundreds of ranks
+    takes a large part of a small host's core, and the ranks' expert counts take
+    a large part of its link, so that its streams pause for longer than those of
+    other hosts.
 
     Args:
-      book: What is known of the peers.
+      book: The peers.
       own: This daemon.
       now: The monotonic time.
 
     Returns:
-      Of the daemons that stay and reach all ranks that on the most powerful
-      host, of equals the first name; of all that stay if none reaches them.
+      Of the daemons that are not stopping and reach all ranks, the one on the
+      most powerful host and, of equals, the one whose name sorts first. If none
+      reaches all ranks, all daemons that are not stopping are considered.
     """
     staying = [
-        Candidate(each.name, each.power, each.can_plan)
-        for each in book.live(now)
+        PlannerCandidate(each.name, each.power, each.can_plan)
+        for each in peer_table.live(now)
         if not each.leaving
     ]
     candidates = [own, *staying]
     able = [each for each in candidates if each.can_plan]
-    first = min(able or candidates, key=lambda each: (-each.power, each.name))
-    return first.name
+    chosen = min(able or candidates, key=lambda each: (-each.power, each.name))
+    return chosen.name
 
 
 def demands_of(
-    book: PeerBook, own: ServiceDemand, now: timedelta
+    peer_table: PeerBook, own: ServiceDemand, now: timedelta
 ) -> dict[str, float]:
-    """Return how much each daemon has for a service.
+    """Return the request rate of each daemon for a service.
 
     Args:
-      book: What is known of the peers.
-      own: What this daemon has for the service.
+      book: The peers.
+      own: The service, and the request rate of this daemon for it.
       now: The monotonic time.
 
     Returns:
-      The requests a second by the daemon's address, of all that stay.
+      The requests per second by daemon address, of all daemons that are not
+      stopping.
     """
-    told = {
-        str(peer.address): _told_demand(peer, own.service)
-        for peer in book.live(now)
+    advertised = {
+        str(peer.address): _advertised_demand(peer, own.service)
+        for peer in peer_table.live(now)
         if not peer.leaving
     }
-    known = [own.per_s, *(each for each in told.values() if each is not None)]
-    # A daemon that has not told yet is taken to have as much as the others: it
-    # may be sending already.
-    usual = sum(known) / len(known)
+    reported = [
+        own.per_s,
+        *(each for each in advertised.values() if each is not None),
+    ]
+    # A daemon that has not advertised its rate yet is assumed to have the mean
+    # rate of the others, since it may be sending requests already.
+    mean = sum(reported) / len(reported)
     demands = {
-        name: usual if per_s is None else per_s for name, per_s in told.items()
+        name: mean if per_s is None else per_s
+        for name, per_s in advertised.items()
     }
-    return {**demands, str(book.own): own.per_s}
+    return {**demands, str(peer_table.own): own.per_s}
 
 
-def _told_demand(peer: PeerState, service: str) -> float | None:
-    found = (each.per_s for each in peer.demands if each.service == service)
-    return next(found, None)
+def _advertised_demand(peer: PeerState, service: str) -> float | None:
+    rates = (each.per_s for each in peer.demands if each.service == service)
+    return next(rates, None)
 
 
-def _heard(before: Heard | None, state: PeerState, now: timedelta) -> Heard:
+def _received(
+    before: ReceivedState | None, state: PeerState, now: timedelta
+) -> ReceivedState:
     since = now if state.config_version else None
     if before is not None and before.state.start_id == state.start_id:
         since = before.serves_since or since
-    return Heard(state, now, since)
+    return ReceivedState(state, now, since)
 
 
-def _overtaken(before: PeerState, state: PeerState) -> bool:
-    same_life = before.start_id == state.start_id
-    return same_life and state.counter <= before.counter
+def _is_superseded(before: PeerState, state: PeerState) -> bool:
+    same_process = before.start_id == state.start_id
+    return same_process and state.counter <= before.counter
--- a/linnetwind/peer_mesh.py
+++ b/linnetwind/peer_mesh.py
@@ -1,8 +1,8 @@
-"""The messages between gateway daemons: states by UDP, copies by TCP.
+"""Messages between gateway daemons: states over UDP, copies over TCP.
 
-States are small, sent often, and stale at once, so a lost one does not
-matter. Copies of what was read from the store are asked for when the store
-does not answer this daemon but answers others.
+States are small, sent often, and soon superseded, so a lost datagram does not
+matter. A daemon queries its peers for copies of store records while the store
+does not respond to it, but may respond to them.
 """
 
 import random
@@ -22,13 +22,13 @@
 from linnetwind.frames import receive_frame, send_frame
 from linnetwind.gateway_state import GatewayState
 from linnetwind.peer_book import (
-    SEND_INTERVAL,
-    Candidate,
+    MAX_SEND_INTERVAL,
     GroupBrief,
     PeerState,
+    PlannerCandidate,
     leader,
 )
-from linnetwind.peer_wire import StateReader, WholeTurns, pack_state
+from linnetwind.peer_wire import FullStateSchedule, StateReader, pack_state
 from linnetwind.rank_crashes import hear_rank_crashes
 from linnetwind.record_store import (
     KeyedRecord,
@@ -36,30 +36,33 @@
     StoreUnavailable,
     Topic,
 )
-from linnetwind.stop_turns import Told, leads_to_the_end
+from linnetwind.stop_turns import StopTime, plans_while_stopping
 from linnetwind.upstream_limits import ServiceDemand
 
-_ASK_TIMEOUT_S = 0.4
-# A daemon that has just started knows no peer, so that it seems to lead. After
-# a power loss each of dozens looked at all ranks of a group, and the one that
-# stays was seconds late with its first look. By then the states of all that
-# started with it have come, some of them twice.
-_FIRST_CLAIM_MS = 600
-FIRST_CLAIM = timedelta(milliseconds=_FIRST_CLAIM_MS)
-_MOST_DATAGRAM = 60_000
+_QUERY_TIMEOUT_S = 0.4
+# How long a daemon does not lead after its start. It knows no peer then and
+# would elect itself: after a power loss, dozens of daemons polled all ranks of
+# a group, and the first poll of the elected one was seconds late. Within this
+# time the states of all peers that started with it arrive, some of them twice.
+_LEADERSHIP_DELAY_MS = 600
+LEADERSHIP_DELAY = timedelta(milliseconds=_LEADERSHIP_DELAY_MS)
+_MAX_DATAGRAM_BYTES = 60_000
 _SERVER_THREADS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class CopyQuery:
-    """Asks for the newest records of a topic."""
+    """Queries the newest records of a topic."""
 
     topic: Topic
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """The newest records of a topic; `end` is -1 if none were read."""
+    """The newest records of a topic, or `end` -1 if none were read.
+
+    `era` counts the times that the store was restored from an older copy.
+    """
 
     records: tuple[KeyedRecord, ...]
     end: int
@@ -71,9 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshSettings:
-    """This daemon's name and life, its address and first addresses.
+    """The identity and addresses of a daemon.
 
-    `power` tells how much its host bears.
+    `start_id` names this start of its process. `own` is its address, `seeds`
+    are the addresses of the first peers. `power` is the relative capacity of
+    its host.
     """
 
     name: str
@@ -85,7 +90,7 @@
 
 
 class PeerMesh:
-    """Sends this daemon's state to all peers and hears theirs."""
+    """Sends this daemon's state to all peers and receives theirs."""
 
     def __init__(
         self,
@@ -96,9 +101,9 @@
         """Open the sockets.
 
         Args:
-          settings: Who this daemon is and whom to tell first.
+          settings: The daemon's identity and the first peers.
           state: The daemon's shared state.
-          clock: For intervals.
+          clock: The clock, for intervals.
         """
         self._settings = settings
         self._state = state
@@ -107,9 +112,9 @@
         self._counter = 0
         self._sending = threading.Lock()
         self._reader = StateReader()
-        self._turns = WholeTurns()
+        self._full_states = FullStateSchedule()
         self._changed = threading.Event()
-        self._briefs: tuple[GroupBrief, ...] = ()
+        self._summaries: tuple[GroupBrief, ...] = ()
         self._leaving_at: timedelta | None = None
         self._can_plan = True
         self._copies: Callable[[Topic], Records | None] = _no_copy
@@ -124,102 +129,103 @@
         threads: DaemonThreads,
         copies: Callable[[Topic], Records | None],
     ) -> None:
-        """Start the threads.
+        """Start the threads that send and receive.
 
         Args:
           threads: Starts threads.
-          copies: Returns what this daemon has read of a topic.
+          copies: Returns the records that this daemon has read of a topic.
         """
         self._copies = copies
         self._state.call_on_change(self._changed.set)
         threads.for_ever(self._send_next, 'mesh-send')
-        threads.for_ever(self._hear, 'mesh-hear')
+        threads.for_ever(self._receive_next, 'mesh-hear')
         threads.accept(
             self._listener, self._serve, 'mesh-copy', _SERVER_THREADS
         )
 
     def publish(
-        self, briefs: tuple[GroupBrief, ...], *, can_plan: bool
+        self, summaries: tuple[GroupBrief, ...], *, can_plan: bool
     ) -> None:
-        """Tell the peers of rank groups, as their planner.
+        """Advertise the state of rank groups to the peers, as their planner.
 
         Args:
-          briefs: The state of each group; none when not the planner.
+          summaries: The state of each group; empty if this daemon is not the
+            planner.
           can_plan: Whether this daemon reaches all ranks.
         """
-        self._briefs = briefs
+        self._summaries = summaries
         self._can_plan = can_plan
         self._changed.set()
 
     def leads(self) -> bool:
-        """Return whether this daemon is the one that plans."""
-        if self._clock.elapsed() - self._started < FIRST_CLAIM:
+        """Return whether this daemon plans the expert maps."""
+        if self._clock.elapsed() - self._started < LEADERSHIP_DELAY:
             return False
         if self._leaving_at is not None:
-            own = Told(self._settings.name, self._leaving_at)
+            own = StopTime(self._settings.name, self._leaving_at)
             now = self._clock.elapsed()
-            return leads_to_the_end(self._state.book, own, now)
-        own = Candidate(
+            return plans_while_stopping(self._state.peer_table, own, now)
+        own = PlannerCandidate(
             self._settings.name, self._settings.power, self._can_plan
         )
-        first = leader(self._state.book, own, self._clock.elapsed())
-        return first == own.name
+        elected = leader(self._state.peer_table, own, self._clock.elapsed())
+        return elected == own.name
 
     def leave(self) -> None:
-        """Tell the peers that this daemon is stopping."""
+        """Advertise to the peers that this daemon is stopping."""
         self._leaving_at = self._clock.elapsed()
         self._changed.set()
 
-    def tell_now(self) -> None:
-        """Send the state at once, whenever the last one went.
+    def advertise_now(self) -> None:
+        """Send the state at once, regardless of the send interval.
 
-        States of hundreds of daemons are seconds apart. Meanwhile peers would
-        send on a request that crashes upstreams, or send an upstream more
-        than it says it takes.
+        With hundreds of daemons the states of each are seconds apart. Meanwhile
+        peers would forward a request that crashes upstreams, or exceed a limit
+        that an upstream has named.
         """
         self._send()
 
     def newest(self, topic: Topic) -> Records | StoreUnavailable:
-        """Ask a peer for what it has read of a topic.
+        """Query two random peers for the records that they have read.
 
         Args:
           topic: The topic.
 
         Returns:
-          The newest copy among two peers' answers, or why there is none.
+          The newest copy among their replies, or why there is none.
         """
         addresses = list(self._addresses())
         random.shuffle(addresses)
-        found = [self._ask(each, topic) for each in addresses[:2]]
-        copies = [each for each in found if isinstance(each, Records)]
+        replies = [self._query(each, topic) for each in addresses[:2]]
+        copies = [each for each in replies if isinstance(each, Records)]
         if copies:
             return max(copies, key=lambda each: each.position)
         return StoreUnavailable('no peer has a copy')
 
     def _addresses(self) -> set[Address]:
         seeds = set(self._settings.seeds) - {self._settings.own}
-        return seeds | self._state.book.known
+        return seeds | self._state.peer_table.known_addresses
 
-    def _ask(self, peer: Address, topic: Topic) -> Records | StoreUnavailable:
+    def _query(self, peer: Address, topic: Topic) -> Records | StoreUnavailable:
         try:
             with socket.create_connection(
-                (peer.ip, peer.port), _ASK_TIMEOUT_S
+                (peer.ip, peer.port), _QUERY_TIMEOUT_S
             ) as sock:
                 send_frame(sock, _CODEC.encode(CopyQuery(topic)))
-                answer = _CODEC.decode(receive_frame(sock))
+                reply = _CODEC.decode(receive_frame(sock))
         except OSError as error:
             return StoreUnavailable(f'peer {peer}: {error}')
-        if isinstance(answer, Ok) and isinstance(answer.ok_value, Copy):
-            copy = answer.ok_value
+        if isinstance(reply, Ok) and isinstance(reply.ok_value, Copy):
+            copy = reply.ok_value
             if copy.end >= 0:
                 return Records(copy.records, copy.end, copy.era)
         return StoreUnavailable(f'peer {peer} has no copy')
 
     def _send_next(self) -> timedelta:
-        self._changed.wait(SEND_INTERVAL.total_seconds())
+        self._changed.wait(MAX_SEND_INTERVAL.total_seconds())
         self._changed.clear()
         self._send()
-        return self._state.book.send_interval
+        return self._state.peer_table.min_send_interval
 
     def _send(self) -> None:
         with self._sending:
@@ -237,8 +243,8 @@
             self._leaving_at is not None,
             self._can_plan,
             self._state.running,
-            tuple(self._state.book.known),
-            self._briefs,
+            tuple(self._state.peer_table.known_addresses),
+            self._summaries,
             self._state.room.loads(),
             self._state.books.refusals.tell(),
             self._stopping_ms(),
@@ -249,16 +255,18 @@
             self._state.books.limits.tell(),
             self._demands(),
         )
-        whole = self._turns.is_whole(self._news(message), self._clock.elapsed())
+        whole = self._full_states.next_is_full(
+            self._full_state_key(message), self._clock.elapsed()
+        )
         content = pack_state(message, whole=whole)
         for address in self._addresses():
-            # A datagram that cannot be sent is as good as a lost one; the
-            # next state follows soon.
+            # A datagram that cannot be sent counts as lost; the next state
+            # follows soon.
             with suppress(OSError):
                 self._datagrams.sendto(content, (address.ip, address.port))
 
     def _demands(self) -> tuple[ServiceDemand, ...]:
-        """Return this daemon's demand for services with a limited upstream."""
+        """Return the request rate for each service with a limited upstream."""
         if not self._state.books.limits.any_known:
             return ()
         limited = {
@@ -272,11 +280,11 @@
             ServiceDemand(service, demand(service)) for service in limited
         )
 
-    def _news(self, message: PeerState) -> Hashable:
-        """Return what peers have to be told again when it changes."""
-        lives = frozenset(
+    def _full_state_key(self, message: PeerState) -> Hashable:
+        """Return a value that changes when peers need a full state."""
+        start_ids = frozenset(
             (name, each.state.start_id)
-            for name, each in self._state.book.heard.items()
+            for name, each in self._state.peer_table.received.items()
         )
         rosters = tuple(
             (each.service, each.group, each.members) for each in message.groups
@@ -286,7 +294,7 @@
         )
         return (
             frozenset(message.members),
-            lives,
+            start_ids,
             rosters,
             crashes,
             message.answered,
@@ -298,27 +306,29 @@
         since = self._clock.elapsed() - self._leaving_at
         return int(since / timedelta(milliseconds=1))
 
-    def _hear(self) -> None:
-        content, _sender = self._datagrams.recvfrom(_MOST_DATAGRAM)
-        heard = self._reader.read(content, self._state.upstreams.lives_by_tag)
-        # Anything else is not from a daemon of this version.
-        if heard is not None and heard.name != self._settings.name:
-            self._state.hear(heard)
+    def _receive_next(self) -> None:
+        content, _sender = self._datagrams.recvfrom(_MAX_DATAGRAM_BYTES)
+        received = self._reader.read(
+            content, self._state.upstreams.lives_by_tag
+        )
+        # Other datagrams are not states, or are this daemon's own.
+        if received is not None and received.name != self._settings.name:
+            self._state.hear(received)
             now = self._clock.elapsed()
-            hear_rank_crashes(self._state, heard.crashes, now)
+            hear_rank_crashes(self._state, received.crashes, now)
 
     def _serve(self, sock: socket.socket) -> None:
-        sock.settimeout(_ASK_TIMEOUT_S)
+        sock.settimeout(_QUERY_TIMEOUT_S)
         try:
             query = _CODEC.decode(receive_frame(sock))
         except OSError:
-            # The peer gave up; it asks again or asks another.
+            # The peer closed the connection; it queries again, or another peer.
             return
         if isinstance(query, Ok) and isinstance(query.ok_value, CopyQuery):
-            found = self._copies(query.ok_value.topic) or Records((), -1)
-            answer = Copy(found.records, found.end, found.era)
-            send_frame(sock, _CODEC.encode(answer))
+            newest = self._copies(query.ok_value.topic) or Records((), -1)
+            reply = Copy(newest.records, newest.end, newest.era)
+            send_frame(sock, _CODEC.encode(reply))
 
 
 def _no_copy(topic: Topic) -> Records | None:
-    """Return nothing, until the daemon's followers are there."""
+    """Return no records, until the daemon's followers are set."""
--- a/linnetwind/peer_mesh_test.py
+++ b/linnetwind/peer_mesh_test.py
@@ -1,4 +1,4 @@
-"""Tests of who leads when daemons have just started."""
+"""Tests of the leader election of daemons that have just started."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -7,7 +7,7 @@
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.peer_mesh import FIRST_CLAIM, MeshSettings, PeerMesh
+from linnetwind.peer_mesh import LEADERSHIP_DELAY, MeshSettings, PeerMesh
 from linnetwind.repeat_budget import BudgetTerms
 from standins.gateway_fixtures import make_peer
 
@@ -28,22 +28,22 @@
     return state, PeerMesh(settings, state, clock)
 
 
-def test_nobody_leads_before_it_has_heard_of_the_others(clock):
-    # All daemons start after a power loss, and none has heard of another yet.
-    # Sixteen of them led at once and looked at each of 192 ranks; the one that
-    # stays had its first look 1.1 s after it had begun to lead.
+def test_no_daemon_leads_before_it_has_received_states_of_its_peers(clock):
+    # All daemons start after a power loss, and none knows another yet. Sixteen
+    # of them led at once and polled each of 192 ranks; the one that remained
+    # the leader completed its first poll 1.1 s after it had started to lead.
     daemons = {name: _start(clock, name) for name in ('a', 'b', 'c')}
     assert not any(mesh.leads() for _state, mesh in daemons.values())
-    clock.advance(FIRST_CLAIM / 2)
+    clock.advance(LEADERSHIP_DELAY / 2)
     for name, (state, _mesh) in daemons.items():
         for other in daemons.keys() - {name}:
             state.hear(make_peer(other))
-    clock.advance(FIRST_CLAIM / 2)
+    clock.advance(LEADERSHIP_DELAY / 2)
     leaders = [name for name, (_state, mesh) in daemons.items() if mesh.leads()]
     assert leaders == ['a']
 
 
-def test_a_daemon_that_hears_nobody_leads_soon(clock):
+def test_a_daemon_without_peers_leads_soon(clock):
     _state, mesh = _start(clock, 'a')
-    clock.advance(FIRST_CLAIM)
+    clock.advance(LEADERSHIP_DELAY)
     assert mesh.leads()
--- a/linnetwind/peer_wire.py
+++ b/linnetwind/peer_wire.py
@@ -1,13 +1,16 @@
-"""The states of daemons as bytes, small enough for one packet.
-
-The load that this answers: 35 daemons send their states to each other three
-times a second. With the names of lives and all addresses a state had 8.3 KB,
-in 6 packets: 6.6 Mbit/s from each host, of 20 that the smallest has, and at
-2.5 in 100 lost packets one state in seven was lost.
-
-Lives go as numbers that both ends work out from the list of upstreams; a
-daemon that does not know a life cannot give it work either. Addresses and
-the ranks of a group go with some states only, more often while they change.
+"""The wire format of daemon states, which fit into one packet.
+
+The format is sized for 35 daemons that send their states to each other three
+times a second. With the names of upstream incarnations and all addresses, a
+state takes 8.3 KB in 6 packets: 6.6 Mbit/s from each host, of the 20 Mbit/s
+that the smallest host has. If 2.5 % of the packets are lost, one state in seven
+is lost.
+
+Therefore upstream incarnations are sent as numeric tags that both ends derive
+from the list of upstreams; a daemon that does not know an incarnation sends it
+no requests either. Daemon addresses, the ranks of a group and crashes are only
+part of full states, which are sent for some time after a change and now and
+then.
 """
 
 import struct
@@ -28,21 +31,22 @@
 from linnetwind.upstream_limits import ServiceDemand, ToldLimit
 
 _TAG_BYTES = 4
-# What cut bytes raise, and a number without its count.
-_NOT_NUMBERS = (struct.error, ValueError)
-# How long states go whole after a change: five of them with 35 daemons.
-_TOLD_WHOLE = timedelta(seconds=2)
-# A peer that lost the packets of a change waits 1.4 s for the next whole state
-# with 35 daemons; a brief of a group is used for 2 s.
-_EACH_WHOLE = 4
+# Raised for truncated bytes, and for a tag without its count.
+_UNPACK_ERRORS = (struct.error, ValueError)
+# How long full states are sent after a change: five states with 35 daemons.
+_FULL_AFTER_CHANGE = timedelta(seconds=2)
+# At least each fourth state is full. A peer that lost the packets of a change
+# then waits 1.4 s for the next full state with 35 daemons, which is less than
+# the 2 s for which a summary of a group is used.
+_FULL_STATE_EVERY = 4
 
 
 @dataclass(frozen=True, slots=True)
-class _WireBrief:
-    """`GroupBrief` with numbers for lives.
+class _WireSummary:
+    """`GroupBrief` with packed tags in place of incarnations.
 
-    `roster` is a checksum of the members, `members` their numbers, empty if
-    they were told before.
+    `roster` is a checksum of the members, `members` holds their tags, or is
+    empty in a state that is not full.
     """
 
     service: str
@@ -58,9 +62,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _WireState:
-    """`PeerState` with numbers for lives; see there.
+    """`PeerState` with packed tags in place of incarnations; see there.
 
-    `running` holds a number and a count for each life.
+    `running` holds a tag and a count for each incarnation.
     """
 
     name: str
@@ -72,7 +76,7 @@
     can_plan: bool
     running: bytes
     members: tuple[Address, ...]
-    groups: tuple[_WireBrief, ...]
+    groups: tuple[_WireSummary, ...]
     loads: tuple[StreamLoad, ...]
     refused: tuple[str, ...]
     stopping_ms: int
@@ -85,150 +89,154 @@
 
 
 _CODEC = Codec((_WireState,))
-# The fields that go with whole states only.
-_ONLY_IN_WHOLE = frozenset(('members', 'crashes', 'answered'))
-# The fields that go as they are; the others are written out where they differ.
+# The fields that are empty unless the state is full.
+_ONLY_IN_FULL = frozenset(('members', 'crashes', 'answered'))
+# The fields that are sent unchanged; the others are converted one by one.
 _SAME_IN_STATES = tuple(
     field.name
     for field in fields(_WireState)
-    if field.name not in {'running', 'groups', *_ONLY_IN_WHOLE}
+    if field.name not in {'running', 'groups', *_ONLY_IN_FULL}
 )
-_SAME_IN_BRIEFS = tuple(
+_SAME_IN_SUMMARIES = tuple(
     field.name
-    for field in fields(_WireBrief)
+    for field in fields(_WireSummary)
     if field.name not in {'roster', 'members', 'slow'}
 )
 
 
 def pack_state(state: PeerState, *, whole: bool) -> bytes:
-    """Return a state as bytes.
+    """Encode a state.
 
     Args:
       state: The state.
-      whole: Whether addresses, ranks and crashes go with it.
+      whole: Whether the state is full, with addresses, ranks and crashes.
 
     Returns:
       The bytes.
     """
     running = [
-        number
+        word
         for life, count in state.running.items()
-        for number in (tag_life(life), count)
+        for word in (tag_life(life), count)
     ]
     message = _WireState(
         **_copy_fields(state, _SAME_IN_STATES),
         running=_pack(running),
         **{
             name: getattr(state, name) if whole else ()
-            for name in _ONLY_IN_WHOLE
+            for name in _ONLY_IN_FULL
         },
-        groups=tuple(_pack_brief(each, whole) for each in state.groups),
+        groups=tuple(_pack_summary(each, whole) for each in state.groups),
     )
     return _CODEC.encode(message)
 
 
 class StateReader:
-    """Reads states; keeps the ranks of each group until they change."""
+    """Decodes states; remembers the ranks of each group until they change."""
 
     def __init__(self) -> None:
-        """Start without ranks."""
+        """Start without ranks of any group."""
         self._rosters: dict[tuple[str, str], bytes] = {}
 
     def read(
         self, content: bytes, lives: Mapping[LifeTag, Life]
     ) -> PeerState | None:
-        """Return the state in a message.
+        """Decode the state in a datagram.
 
         Args:
-          content: The bytes.
-          lives: The lives that are known here.
+          content: The bytes of the datagram.
+          lives: The upstream incarnations that this daemon knows, by tag.
 
         Returns:
-          The state, without counts of unknown lives and without groups whose
-          ranks were not told yet; None if these are no bytes of a state.
+          The state, without counts of unknown incarnations and without groups
+          whose ranks have not been received yet, or None if the bytes are not a
+          state.
         """
-        found = _CODEC.decode(content)
-        if not isinstance(found, Ok):
+        decoded = _CODEC.decode(content)
+        if not isinstance(decoded, Ok):
             return None
         try:
-            return self._read(found.ok_value, lives)
-        except _NOT_NUMBERS:
+            return self._read(decoded.ok_value, lives)
+        except _UNPACK_ERRORS:
             return None
 
     def _read(
         self, message: _WireState, lives: Mapping[LifeTag, Life]
     ) -> PeerState:
-        numbers = iter(_unpack(message.running))
+        words = iter(_unpack(message.running))
         running = {
             lives[tag]: count
-            for tag, count in zip(numbers, numbers, strict=True)
+            for tag, count in zip(words, words, strict=True)
             if tag in lives
         }
-        briefs = [self._read_brief(each, lives) for each in message.groups]
+        summaries = [self._read_summary(each, lives) for each in message.groups]
         return PeerState(
             **_copy_fields(message, _SAME_IN_STATES),
             running=running,
-            **_copy_fields(message, _ONLY_IN_WHOLE),
-            groups=tuple(each for each in briefs if each is not None),
+            **_copy_fields(message, _ONLY_IN_FULL),
+            groups=tuple(each for each in summaries if each is not None),
         )
 
-    def _read_brief(
-        self, brief: _WireBrief, lives: Mapping[LifeTag, Life]
+    def _read_summary(
+        self, summary: _WireSummary, lives: Mapping[LifeTag, Life]
     ) -> GroupBrief | None:
-        key = (brief.service, brief.group)
-        if brief.members:
-            self._rosters[key] = brief.members
+        key = (summary.service, summary.group)
+        if summary.members:
+            self._rosters[key] = summary.members
         roster = self._rosters.get(key, b'')
-        if zlib.crc32(roster) != brief.roster:
+        if zlib.crc32(roster) != summary.roster:
             return None
         return GroupBrief(
-            **_copy_fields(brief, _SAME_IN_BRIEFS),
-            members=_known(_unpack(roster), lives),
-            slow=_known(_unpack(brief.slow), lives),
+            **_copy_fields(summary, _SAME_IN_SUMMARIES),
+            members=_known_incarnations(_unpack(roster), lives),
+            slow=_known_incarnations(_unpack(summary.slow), lives),
         )
 
 
-class WholeTurns:
-    """Says which states carry addresses and ranks.
+class FullStateSchedule:
+    """Decides which states are full: with addresses, ranks and crashes.
 
-    All do for some time after these or the peers have changed, so that after
-    a power loss all daemons know each other as soon as they did with whole
-    states; then each fourth, for those that lost the packets.
+    All states are full for some time after these or the peers have changed, so
+    that after a power loss all daemons know each other as soon as if all states
+    were full. After that each fourth state is full, for peers that lost the
+    packets.
     """
 
     def __init__(self) -> None:
-        """Start with whole states."""
-        self._news: Hashable = None
-        self._until = timedelta()
-        self._since_whole = 0
+        """Start with full states."""
+        self._full_state_key: Hashable = None
+        self._full_until = timedelta()
+        self._since_full = 0
 
-    def is_whole(self, news: Hashable, now: timedelta) -> bool:
-        """Return whether the next state goes whole.
+    def next_is_full(self, full_state_key: Hashable, now: timedelta) -> bool:
+        """Return whether the next state is full; called once for each state.
 
         Args:
-          news: What peers would need to be told again if it changes.
+          full_state_key: A value that changes when peers need a full state.
           now: The monotonic time.
 
         Returns:
-          Whether addresses and ranks go with it.
+          Whether addresses, ranks and crashes are part of the state.
         """
-        if news != self._news:
-            self._news = news
-            self._until = now + _TOLD_WHOLE
-        self._since_whole += 1
-        whole = now < self._until or self._since_whole >= _EACH_WHOLE
-        if whole:
-            self._since_whole = 0
-        return whole
-
-
-def _pack_brief(brief: GroupBrief, whole: bool) -> _WireBrief:
-    members = _pack([tag_life(each) for each in brief.members])
-    return _WireBrief(
-        **_copy_fields(brief, _SAME_IN_BRIEFS),
+        if full_state_key != self._full_state_key:
+            self._full_state_key = full_state_key
+            self._full_until = now + _FULL_AFTER_CHANGE
+        self._since_full += 1
+        is_full = (
+            now < self._full_until or self._since_full >= _FULL_STATE_EVERY
+        )
+        if is_full:
+            self._since_full = 0
+        return is_full
+
+
+def _pack_summary(summary: GroupBrief, is_full: bool) -> _WireSummary:
+    members = _pack([tag_life(each) for each in summary.members])
+    return _WireSummary(
+        **_copy_fields(summary, _SAME_IN_SUMMARIES),
         roster=zlib.crc32(members),
-        members=members if whole else b'',
-        slow=_pack([tag_life(each) for each in brief.slow]),
+        members=members if is_full else b'',
+        slow=_pack([tag_life(each) for each in summary.slow]),
     )
 
 
@@ -236,8 +244,8 @@
     return {name: getattr(source, name) for name in names}
 
 
-def _pack(numbers: list[int]) -> bytes:
-    return struct.pack(f'<{len(numbers)}I', *numbers)
+def _pack(words: list[int]) -> bytes:
+    return struct.pack(f'<{len(words)}I', *words)
 
 
 def _unpack(content: bytes) -> tuple[int, ...]:
@@ -245,7 +253,7 @@
     return struct.unpack(f'<{size}I', content)
 
 
-def _known(
+def _known_incarnations(
     tags: Iterable[int], lives: Mapping[LifeTag, Life]
 ) -> tuple[Life, ...]:
     return tuple(lives[tag] for tag in tags if tag in lives)
--- a/linnetwind/peer_wire_test.py
+++ b/linnetwind/peer_wire_test.py
@@ -1,4 +1,4 @@
-"""Tests of the states of daemons as bytes: what arrives, and how much it is."""
+"""Tests of the wire format of daemon states: its content and its size."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -18,13 +18,13 @@
     PeerState,
     StreamLoad,
 )
-from linnetwind.peer_wire import StateReader, WholeTurns, pack_state
+from linnetwind.peer_wire import FullStateSchedule, StateReader, pack_state
 from linnetwind.upstream_limits import ServiceDemand, ToldLimit
 
 SECOND = timedelta(seconds=1)
 RANKS = [Life(f'i-{number:010x}#{17000 + number}') for number in range(192)]
 KNOWN = {tag_life(life): life for life in RANKS}
-BRIEF = GroupBrief(
+SUMMARY = GroupBrief(
     'model', 'g', 3, True, 1.5, 0, tuple(RANKS), tuple(RANKS[5:7])
 )
 LOAD = StreamLoad('model', 4, 12.5, (PassPart('g', 1.25, 80),))
@@ -41,7 +41,7 @@
         can_plan=True,
         running=dict.fromkeys(RANKS[::4], 1),
         members=tuple(Address(f'10.1.0.{n}', 7340) for n in range(35)),
-        groups=(BRIEF,),
+        groups=(SUMMARY,),
         loads=(LOAD,),
         refused=('5c1e07a2',),
         stopping_ms=0,
@@ -51,96 +51,96 @@
     return replace(state, **changes)
 
 
-def test_a_whole_state_arrives_as_it_was_sent():
+def test_a_full_state_is_decoded_as_it_was_encoded():
     state = _state()
     content = pack_state(state, whole=True)
     assert StateReader().read(content, KNOWN) == state
 
 
-def test_crashes_arrive_with_whole_states_only():
-    # A change of what is told makes states whole, and a quarantine is told
-    # again with each fourth state to those that start later.
-    told = ToldCrash(Fingerprint('9f2c51d7a6b4e803'), LifeTag(7), 40, 2)
-    state = _state(crashes=(told,), answered=(Fingerprint('ab'),))
+def test_crashes_are_part_of_full_states_only():
+    # New crashes make the next states full, and each fourth state is full and
+    # advertises the quarantines to daemons that start later.
+    crash = ToldCrash(Fingerprint('9f2c51d7a6b4e803'), LifeTag(7), 40, 2)
+    state = _state(crashes=(crash,), answered=(Fingerprint('ab'),))
     whole = pack_state(state, whole=True)
     assert StateReader().read(whole, KNOWN) == state
-    usual = pack_state(_state(crashes=(told,), groups=()), whole=False)
-    assert len(usual) < 1_200
-    assert StateReader().read(usual, KNOWN).crashes == ()
+    content = pack_state(_state(crashes=(crash,), groups=()), whole=False)
+    assert len(content) < 1_200
+    assert StateReader().read(content, KNOWN).crashes == ()
 
 
-def test_a_state_of_the_version_before_is_read():
+def test_a_state_of_the_previous_version_is_decoded():
     # While a new version is rolled out, both run side by side.
     tag, *values = cbor2.loads(pack_state(_state(), whole=True))
-    before = cbor2.dumps([tag, *values[:-4]])
-    assert StateReader().read(before, KNOWN) == _state()
+    older = cbor2.dumps([tag, *values[:-4]])
+    assert StateReader().read(older, KNOWN) == _state()
 
 
-def test_limits_arrive_with_every_state():
-    told = ToldLimit(LifeTag(7), 2.5, 40)
-    ended = ToldLimit(LifeTag(8), None, 40)
+def test_limits_are_part_of_every_state():
+    limit = ToldLimit(LifeTag(7), 2.5, 40)
+    removed_limit = ToldLimit(LifeTag(8), None, 40)
     demand = ServiceDemand('model', 12.25)
-    state = _state(limits=(told, ended), demands=(demand,), members=())
+    state = _state(limits=(limit, removed_limit), demands=(demand,), members=())
     StateReader().read(pack_state(_state(), whole=True), KNOWN)
-    found = StateReader().read(pack_state(state, whole=False), KNOWN)
-    assert found.limits == (told, ended)
-    assert found.demands == (demand,)
+    decoded = StateReader().read(pack_state(state, whole=False), KNOWN)
+    assert decoded.limits == (limit, removed_limit)
+    assert decoded.demands == (demand,)
 
 
 @pytest.mark.parametrize('per_s', [-1.0, float('nan'), 1e300])
-def test_limits_that_nobody_names_are_no_state(per_s):
+def test_limits_out_of_range_are_no_state(per_s):
     state = _state(limits=(ToldLimit(LifeTag(7), per_s, 40),))
     whole = pack_state(state, whole=True)
     assert StateReader().read(whole, KNOWN) is None
 
 
 @pytest.mark.parametrize('age', [-1, 10**18])
-def test_ages_that_no_crash_has_are_no_state(age):
-    # An age beyond the range of times raised in the thread that hears peers.
-    told = ToldCrash(Fingerprint('ab'), LifeTag(7), age, 2)
-    whole = pack_state(_state(crashes=(told,)), whole=True)
+def test_ages_out_of_range_are_no_state(age):
+    # An age beyond the range of `timedelta` raised an exception in the thread
+    # that receives states.
+    crash = ToldCrash(Fingerprint('ab'), LifeTag(7), age, 2)
+    whole = pack_state(_state(crashes=(crash,)), whole=True)
     assert StateReader().read(whole, KNOWN) is None
 
 
-def test_ranks_are_remembered_while_states_go_without_them():
+def test_ranks_are_remembered_while_states_are_not_full():
     reader = StateReader()
     reader.read(pack_state(_state(), whole=True), KNOWN)
-    found = reader.read(pack_state(_state(counter=8), whole=False), KNOWN)
-    assert found == _state(counter=8, members=())
+    decoded = reader.read(pack_state(_state(counter=8), whole=False), KNOWN)
+    assert decoded == _state(counter=8, members=())
 
 
-def test_a_group_whose_ranks_are_not_known_yet_is_left_out():
-    # A daemon has just started, or lost the packet that told the ranks. With
-    # a group of no ranks it would give all streams to none.
+def test_a_group_whose_ranks_were_not_received_yet_is_left_out():
+    # A daemon has just started, or lost the packet with the ranks. If the group
+    # had no ranks, no rank would be eligible for a stream.
     reader = StateReader()
-    found = reader.read(pack_state(_state(), whole=False), KNOWN)
-    assert found == _state(members=(), groups=())
-    changed = replace(BRIEF, members=tuple(RANKS[1:]))
+    decoded = reader.read(pack_state(_state(), whole=False), KNOWN)
+    assert decoded == _state(members=(), groups=())
+    changed = replace(SUMMARY, members=tuple(RANKS[1:]))
     reader.read(pack_state(_state(), whole=True), KNOWN)
     content = pack_state(_state(groups=(changed,)), whole=False)
     assert reader.read(content, KNOWN).groups == ()
 
 
-def test_lives_that_are_not_known_here_are_left_out():
-    # The list of upstreams is behind that of the peer; what is not listed
-    # gets no work from here.
+def test_unknown_incarnations_are_left_out():
+    # The list of upstreams is behind that of the peer. An upstream that is not
+    # listed gets no requests from this daemon.
     fewer = {tag_life(life): life for life in RANKS[:100]}
-    found = StateReader().read(pack_state(_state(), whole=True), fewer)
-    assert found.running == dict.fromkeys(RANKS[:100:4], 1)
-    assert found.groups[0].members == tuple(RANKS[:100])
-    # Once they are known they count, though they are not told again.
+    decoded = StateReader().read(pack_state(_state(), whole=True), fewer)
+    assert decoded.running == dict.fromkeys(RANKS[:100:4], 1)
+    assert decoded.groups[0].members == tuple(RANKS[:100])
 
 
-def test_ranks_that_become_known_need_not_be_told_again():
+def test_ranks_that_become_known_need_not_be_sent_again():
     reader = StateReader()
     reader.read(pack_state(_state(), whole=True), {})
-    found = reader.read(pack_state(_state(), whole=False), KNOWN)
-    assert found.groups == (BRIEF,)
+    decoded = reader.read(pack_state(_state(), whole=False), KNOWN)
+    assert decoded.groups == (SUMMARY,)
 
 
-def test_a_usual_state_fits_into_one_packet():
-    # At 2.5 in 100 lost packets, one of six packets is lost in one state of
-    # seven, and three lost states make a peer seem gone.
+def test_a_state_that_is_not_full_fits_into_one_packet():
+    # If 2.5 % of the packets are lost, a state of six packets is lost in one
+    # case of seven, and three lost states in a row make a peer time out.
     planner = pack_state(_state(), whole=False)
     others = pack_state(_state(groups=()), whole=False)
     assert len(planner) < 1_200
@@ -152,26 +152,28 @@
     assert StateReader().read(content, KNOWN) is None
 
 
-def test_cut_numbers_are_no_state():
+def test_truncated_bytes_are_no_state():
     whole = pack_state(_state(groups=(), running={}), whole=False)
     assert StateReader().read(whole[:-3], KNOWN) is None
 
 
 @pytest.mark.parametrize('running', [b'12345678' * 2 + b'1234', b'123'])
-def test_numbers_without_their_counts_are_no_state(running):
-    # A datagram from elsewhere decodes by chance. It ended the round of the
-    # thread that hears peers, with a traceback in the log.
+def test_tags_without_their_counts_are_no_state(running):
+    # A datagram from elsewhere may decode by chance. Such a datagram raised an
+    # exception in the thread that receives states, with a traceback in the log.
     plain = pack_state(_state(groups=(), running={}), whole=False)
     tag, *values = cbor2.loads(plain)
     values[7] = running
     assert StateReader().read(cbor2.dumps([tag, *values]), KNOWN) is None
 
 
-def test_states_go_whole_while_something_changes_and_now_and_then():
-    turns = WholeTurns()
-    sent = [turns.is_whole('a', number * SECOND / 4) for number in range(24)]
-    # For two seconds, then each fourth.
+def test_states_are_full_after_a_change_and_then_each_fourth():
+    schedule = FullStateSchedule()
+    sent = [
+        schedule.next_is_full('a', number * SECOND / 4) for number in range(24)
+    ]
+    # Full for two seconds, then each fourth.
     assert sent[:8] == [True] * 8
     assert sent[8:] == [False, False, False, True] * 4
-    assert turns.is_whole('b', 6 * SECOND)
-    assert turns.is_whole('b', 7.5 * SECOND)
+    assert schedule.next_is_full('b', 6 * SECOND)
+    assert schedule.next_is_full('b', 7.5 * SECOND)
--- a/linnetwind/stop_turns.py
+++ b/linnetwind/stop_turns.py
@@ -1,205 +1,216 @@
-"""The order in which gateways that are told to stop together drain.
+"""The order in which gateways drain that are stopped at the same time.
 
-If all of them drained at once, none would take a stream until the first is
-back, and the callers of those seconds would be lost: refused here, refused
-there. Those that were told first drain at once and come back, while the
-others still serve; these drain then.
+If all of them drained at once, no gateway would accept a stream until the
+first one has restarted, and every caller of these seconds would be rejected by
+one gateway after the other. Therefore the gateways that received their stop
+signal first drain at once and restart while the others still serve; the others
+drain afterwards.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-from linnetwind.peer_book import Heard, PeerBook
+from linnetwind.peer_book import PeerBook, ReceivedState
 
-# The platform sends callers to a daemon that is back after one question.
-_BACK_MS = 1_200
-BACK = timedelta(milliseconds=_BACK_MS)
-# A daemon that stops plans so long at most; in the time that is left of its
-# grace a peer takes over what it has begun.
-_LED_MS = 5_000
-LED_FOR = timedelta(milliseconds=_LED_MS)
-# Daemons that were told to stop within this time go by their names; messages
-# between them take up to a tenth of a second on a busy host.
-_TOGETHER_MS = 200
-_TOGETHER = timedelta(milliseconds=_TOGETHER_MS)
+# The time after a restart until the platform routes callers to a daemon: it
+# needs one successful readiness probe, and sends one each second.
+_RESTART_DELAY_MS = 1_200
+RESTART_DELAY = timedelta(milliseconds=_RESTART_DELAY_MS)
+# How long a stopping daemon plans expert maps at most. In the rest of its grace
+# period a peer takes over the rollouts that it has started.
+_MAX_PLANNING_MS = 5_000
+MAX_PLANNING_TIME = timedelta(milliseconds=_MAX_PLANNING_MS)
+# Daemons that received their stop signals within this time drain in the order
+# of their names: the messages that tell of a stop take up to 0.1 s on a busy
+# host, so that each daemon sees the others' signals later than its own.
+_SIMULTANEOUS_MS = 200
+_SIMULTANEOUS = timedelta(milliseconds=_SIMULTANEOUS_MS)
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A daemon that was told to stop, and the monotonic time of that."""
+class StopTime:
+    """The monotonic time at which a daemon received its stop signal."""
 
     name: str
     at: timedelta
 
 
-def told(heard: Heard) -> Told | None:
-    """Return when a peer was told to stop, or None if it stays.
+def stop_time_of(received: ReceivedState) -> StopTime | None:
+    """Return when a peer received its stop signal, or None if it has not.
 
     Args:
-      heard: Its newest state.
+      received: The peer's newest state.
 
     Returns:
       The time by this daemon's clock.
     """
-    if not heard.state.leaving:
+    if not received.state.leaving:
         return None
-    since = timedelta(milliseconds=heard.state.stopping_ms)
-    return Told(heard.state.name, heard.at - since)
+    since = timedelta(milliseconds=received.state.stopping_ms)
+    return StopTime(received.state.name, received.at - since)
 
 
-def goes_before(one: Told, other: Told) -> bool:
-    """Return which of two daemons that were told to stop goes first.
+def drains_before(one: StopTime, other: StopTime) -> bool:
+    """Return whether the first of two stopping daemons drains first.
 
     Args:
-      one: A daemon.
-      other: Another one.
+      one: The stop time of a daemon.
+      other: The stop time of another daemon.
 
     Returns:
-      Whether `one` was told first; at the same time, whether its name is.
+      Whether the first daemon was stopped earlier or, if both were stopped at
+      about the same time, whether its name sorts first.
     """
-    if abs(one.at - other.at) < _TOGETHER:
+    if abs(one.at - other.at) < _SIMULTANEOUS:
         return one.name < other.name
     return one.at < other.at
 
 
-def leads_to_the_end(book: PeerBook, own: Told, now: timedelta) -> bool:
-    """Return whether a daemon that stops still plans the expert maps.
+def plans_while_stopping(
+    peer_table: PeerBook, own: StopTime, now: timedelta
+) -> bool:
+    """Return whether a stopping daemon still plans the expert maps.
 
-    When all daemons stopped at once, nobody planned for 3 s. The load of the
-    ranks grew apart from 1.3 to 3 times the mean, all streams turned late,
-    and the first daemons that were back had no room for anybody.
+    When all daemons stopped at once and none planned for 3 s, the load of the
+    most loaded rank rose from 1.3 to 3 times the mean. All streams were late,
+    and the first daemons that had restarted had no capacity for new streams.
 
     Args:
-      book: What is known of the peers.
-      own: This daemon.
+      peer_table: The peers.
+      own: The stop time of this daemon.
       now: The monotonic time.
 
     Returns:
-      Whether no daemon stays and this one goes last.
+      Whether all daemons with a configuration are stopping and this one drains
+      last; false once it has been stopping for `MAX_PLANNING_TIME`.
     """
-    if now - own.at > LED_FOR:
+    if now - own.at > MAX_PLANNING_TIME:
         return False
-    for heard in book.heard.values():
-        if now - heard.at >= book.silence:
+    for received in peer_table.received.values():
+        if now - received.at >= peer_table.peer_timeout:
             continue
-        other = told(heard)
+        other = stop_time_of(received)
         if other is None:
-            if heard.state.config_version:
+            if received.state.config_version:
                 return False
-        elif goes_before(own, other):
+        elif drains_before(own, other):
             return False
     return True
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A daemon, its site, and when it was told to stop (None: it stays)."""
+    """A daemon, its site, and its stop time (None if it is not stopping)."""
 
     name: str
     site: str
-    told: Told | None
+    stop_time: StopTime | None
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The daemons that callers reach besides this one.
+    """The other daemons to which the platform routes callers.
 
-    `known` counts all daemons, also this one and those that are away.
+    `daemon_count` counts all daemons, including this one and those to which no
+    callers are routed at present.
     """
 
     serving: tuple[Host, ...]
-    known: int
+    daemon_count: int
 
 
-def fleet_of(book: PeerBook, now: timedelta) -> Fleet:
-    """Return the daemons that callers reach, as their messages tell.
+def reachable_fleet(peer_table: PeerBook, now: timedelta) -> Fleet:
+    """Return the peers to which the platform routes callers.
 
     Args:
-      book: What is known of the peers.
+      peer_table: The peers.
       now: The monotonic time.
 
     Returns:
-      The fleet; a daemon that has just started is not sent callers yet.
+      The fleet, without daemons that started less than `RESTART_DELAY` ago.
     """
     serving = [
-        _host(heard)
-        for heard in book.heard.values()
-        if now - heard.at < book.silence and _is_back(heard, now)
+        _daemon_of(received)
+        for received in peer_table.received.values()
+        if now - received.at < peer_table.peer_timeout
+        and _is_reachable(received, now)
     ]
-    return Fleet(tuple(serving), 1 + len(book.heard))
+    return Fleet(tuple(serving), 1 + len(peer_table.received))
 
 
-def stand_ins(own: Host, fleet: Fleet) -> list[Host]:
-    """Return the daemons that serve on while this one drains.
+def covering_daemons(own: Host, fleet: Fleet) -> list[Host]:
+    """Return the daemons that keep serving while this one drains.
 
     Args:
-      own: A daemon that was told to stop.
-      fleet: The others.
+      own: A stopping daemon.
+      fleet: The other daemons.
 
     Returns:
-      Those that stay, and those that were told to stop after this one.
+      The daemons that are not stopping, and those that drain after this one.
     """
-    return [each for each in fleet.serving if _goes_after(own, each)]
+    return [each for each in fleet.serving if _drains_after(own, each)]
 
 
 def may_drain(own: Host, fleet: Fleet) -> bool:
     """Decide whether it is a daemon's turn to drain.
 
     Args:
-      own: A daemon that was told to stop.
-      fleet: The others.
+      own: A stopping daemon.
+      fleet: The other daemons.
 
     Returns:
-      Whether half of all daemons serve meanwhile; a daemon that knows of no
-      other has nothing to wait for.
+      Whether at least half of all daemons keep serving meanwhile. A daemon
+      without peers may drain at once.
     """
-    needed = fleet.known // 2
-    return len(stand_ins(own, fleet)) >= needed
+    needed = fleet.daemon_count // 2
+    return len(covering_daemons(own, fleet)) >= needed
 
 
 def is_awaited(own: Host, fleet: Fleet) -> bool:
-    """Return whether others wait until a daemon has drained and is back.
+    """Return whether other daemons wait for a daemon to drain and restart.
 
     Args:
-      own: A daemon whose turn it is.
-      fleet: The others.
+      own: A daemon that may drain.
+      fleet: The other daemons.
 
     Returns:
-      Whether one of them was told to stop too and has to serve until then.
+      Whether one of them is stopping too and has to serve until then.
     """
     return any(
-        each.told is not None and serves_on(each, own, fleet)
+        each.stop_time is not None and keeps_serving(each, own, fleet)
         for each in fleet.serving
     )
 
 
-def serves_on(other: Host, own: Host, fleet: Fleet) -> bool:
+def keeps_serving(other: Host, own: Host, fleet: Fleet) -> bool:
     """Return whether another daemon serves while this one drains.
 
     Args:
-      other: One of the fleet.
+      other: A daemon of the fleet.
       own: This daemon.
-      fleet: The others.
+      fleet: The other daemons.
 
     Returns:
-      Whether it stays, or was told to stop too and has no turn yet.
+      Whether it is not stopping, or is stopping but may not drain yet.
     """
-    if other.told is None:
+    if other.stop_time is None:
         return True
     serving = (own, *(each for each in fleet.serving if each != other))
-    return not may_drain(other, Fleet(serving, fleet.known))
+    return not may_drain(other, Fleet(serving, fleet.daemon_count))
 
 
-def _host(heard: Heard) -> Host:
-    return Host(heard.state.name, heard.state.site, told(heard))
+def _daemon_of(received: ReceivedState) -> Host:
+    return Host(
+        received.state.name, received.state.site, stop_time_of(received)
+    )
 
 
-def _is_back(heard: Heard, now: timedelta) -> bool:
-    since = heard.serves_since
-    return since is not None and now - since >= BACK
+def _is_reachable(received: ReceivedState, now: timedelta) -> bool:
+    since = received.serves_since
+    return since is not None and now - since >= RESTART_DELAY
 
 
-def _goes_after(own: Host, other: Host) -> bool:
-    if other.told is None or own.told is None:
-        return other.told is None
-    return goes_before(own.told, other.told)
+def _drains_after(own: Host, other: Host) -> bool:
+    if other.stop_time is None or own.stop_time is None:
+        return other.stop_time is None
+    return drains_before(own.stop_time, other.stop_time)
--- a/linnetwind/stop_turns_test.py
+++ b/linnetwind/stop_turns_test.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which gateways drain that are told to stop."""
+"""Tests of the order in which stopping gateways drain."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -6,17 +6,17 @@
 from linnetwind.address import Address
 from linnetwind.peer_book import PeerBook
 from linnetwind.stop_turns import (
-    BACK,
-    LED_FOR,
+    MAX_PLANNING_TIME,
+    RESTART_DELAY,
     Fleet,
     Host,
-    Told,
-    fleet_of,
-    goes_before,
+    StopTime,
+    covering_daemons,
+    drains_before,
     is_awaited,
-    leads_to_the_end,
     may_drain,
-    stand_ins,
+    plans_while_stopping,
+    reachable_fleet,
 )
 from standins.gateway_fixtures import make_peer
 
@@ -30,98 +30,108 @@
     return make_peer(name, **{'site': 's', **changes})
 
 
-def _book(*states, at=NOW):
-    book = PeerBook(OWN)
+def _peer_table(*states, at=NOW):
+    peer_table = PeerBook(OWN)
     for state in states:
-        # Heard before, so that it is back for long enough.
+        # Received before, so that callers are routed to it already.
         first = replace(state, counter=0, leaving=False)
-        book = book.hear(first, at - BACK).hear(state, at)
-    return book
+        peer_table = peer_table.hear(first, at - RESTART_DELAY).hear(state, at)
+    return peer_table
 
 
-def _told(name, ago):
-    return Host(name, 's', Told(name, NOW - ago))
+def _stopped(name, ago):
+    return Host(name, 's', StopTime(name, NOW - ago))
 
 
 def _stays(name):
     return Host(name, 's', None)
 
 
-def test_a_peer_says_how_long_ago_it_was_told_to_stop():
-    book = _book(_state('b', leaving=True, stopping_ms=400))
-    expected = Host('b', 's', Told('b', NOW - timedelta(milliseconds=400)))
-    assert fleet_of(book, NOW) == Fleet((expected,), 2)
+def test_a_peer_advertises_how_long_ago_it_was_stopped():
+    peer_table = _peer_table(_state('b', leaving=True, stopping_ms=400))
+    expected = Host('b', 's', StopTime('b', NOW - timedelta(milliseconds=400)))
+    assert reachable_fleet(peer_table, NOW) == Fleet((expected,), 2)
 
 
-def test_a_daemon_that_has_just_started_does_not_stand_in_yet():
-    # The platform asks once a second whether it is ready, and sends it no
-    # callers before. Drained for as soon as it spoke, the last two daemons
-    # refused 67 callers who had nowhere else to go.
-    book = PeerBook(OWN).hear(_state('b', leaving=True), NOW - 9 * BACK)
-    book = book.hear(_state('b', start_id='next'), NOW)
-    assert fleet_of(book, NOW) == Fleet((), 2)
+def test_a_daemon_that_has_just_started_does_not_count_as_serving_yet():
+    # The platform sends a readiness probe each second and routes no callers to
+    # a daemon before. When the last two daemons drained as soon as they
+    # received its first state, they rejected 67 callers that no other daemon
+    # served.
+    peer_table = PeerBook(OWN).hear(
+        _state('b', leaving=True), NOW - 9 * RESTART_DELAY
+    )
+    peer_table = peer_table.hear(_state('b', start_id='next'), NOW)
+    assert reachable_fleet(peer_table, NOW) == Fleet((), 2)
     later = replace(_state('b', start_id='next'), counter=2)
-    book = book.hear(later, NOW + BACK)
-    assert fleet_of(book, NOW + BACK) == Fleet((_stays('b'),), 2)
+    peer_table = peer_table.hear(later, NOW + RESTART_DELAY)
+    assert reachable_fleet(peer_table, NOW + RESTART_DELAY) == Fleet(
+        (_stays('b'),), 2
+    )
 
 
-def test_a_daemon_without_a_configuration_does_not_stand_in():
-    assert fleet_of(_book(_state('b', config_version=0)), NOW).serving == ()
+def test_a_daemon_without_a_configuration_does_not_count_as_serving():
+    assert (
+        reachable_fleet(_peer_table(_state('b', config_version=0)), NOW).serving
+        == ()
+    )
 
 
-def test_a_silent_daemon_does_not_stand_in():
-    book = _book(_state('b'))
-    assert fleet_of(book, NOW + book.silence).serving == ()
+def test_a_daemon_that_timed_out_does_not_count_as_serving():
+    peer_table = _peer_table(_state('b'))
+    assert (
+        reachable_fleet(peer_table, NOW + peer_table.peer_timeout).serving == ()
+    )
 
 
-def test_those_that_were_told_first_drain_while_half_serve():
-    own = _told('b', SECOND)
-    later = (_told('c', timedelta()), _told('d', timedelta()))
-    assert may_drain(own, Fleet((*later, _told('a', 2 * SECOND)), 4))
+def test_the_daemons_stopped_first_drain_while_half_serve():
+    own = _stopped('b', SECOND)
+    later = (_stopped('c', timedelta()), _stopped('d', timedelta()))
+    assert may_drain(own, Fleet((*later, _stopped('a', 2 * SECOND)), 4))
     assert not may_drain(later[0], Fleet((own, later[1]), 4))
     assert may_drain(later[0], Fleet((_stays('a'), _stays('b')), 4))
 
 
-def test_one_that_knows_of_no_other_drains():
-    assert may_drain(_told('a', SECOND), Fleet((), 1))
+def test_a_daemon_without_peers_may_drain():
+    assert may_drain(_stopped('a', SECOND), Fleet((), 1))
 
 
-def test_daemons_that_are_told_together_see_the_same_order():
-    # Each hears from the other a moment later than itself. By the times
-    # alone, each took the other to be the later one, and both drained.
-    one, other = Told('a', NOW), Told('b', NOW + SOON)
-    assert goes_before(one, other)
-    assert not goes_before(other, one)
-    one, other = Told('a', NOW + SOON), Told('b', NOW)
-    assert goes_before(one, other)
-    assert not goes_before(other, one)
+def test_daemons_that_are_stopped_together_see_the_same_order():
+    # Each learns of the other's stop signal a moment after its own. By the
+    # times alone, each took the other to be the later one, and both drained.
+    one, other = StopTime('a', NOW), StopTime('b', NOW + SOON)
+    assert drains_before(one, other)
+    assert not drains_before(other, one)
+    one, other = StopTime('a', NOW + SOON), StopTime('b', NOW)
+    assert drains_before(one, other)
+    assert not drains_before(other, one)
 
 
-def test_a_daemon_is_awaited_only_by_those_without_a_turn():
-    own = _told('a', SECOND)
+def test_a_daemon_is_awaited_only_by_those_that_may_not_drain_yet():
+    own = _stopped('a', SECOND)
     assert not is_awaited(own, Fleet((_stays('b'), _stays('c')), 3))
-    with_turn = _told('b', timedelta())
+    later = _stopped('b', timedelta())
     stays = tuple(_stays(name) for name in 'cdef')
-    assert not is_awaited(own, Fleet((with_turn, *stays), 6))
-    assert is_awaited(own, Fleet((with_turn,), 2))
-    assert stand_ins(own, Fleet((with_turn,), 2)) == [with_turn]
+    assert not is_awaited(own, Fleet((later, *stays), 6))
+    assert is_awaited(own, Fleet((later,), 2))
+    assert covering_daemons(own, Fleet((later,), 2)) == [later]
 
 
-def test_the_daemon_that_goes_last_plans_until_one_stays():
-    # All daemons are told to stop within half a second. Nobody planned until
-    # one was back; the skew of the ranks rose from 1.3 to 3, and streams had
+def test_the_daemon_that_drains_last_plans_until_another_has_started():
+    # All daemons are stopped within half a second. When none planned until one
+    # had restarted, the skew of the ranks rose from 1.3 to 3, and streams had
     # pauses of 0.14 s for seconds.
-    own = Told('c', NOW)
+    own = StopTime('c', NOW)
     earlier = _state('a', leaving=True, stopping_ms=500)
     together = _state('b', leaving=True, stopping_ms=100)
-    assert leads_to_the_end(_book(earlier, together), own, NOW)
+    assert plans_while_stopping(_peer_table(earlier, together), own, NOW)
     last = _state('d', leaving=True, stopping_ms=0)
-    assert not leads_to_the_end(_book(earlier, last), own, NOW)
-    assert not leads_to_the_end(_book(earlier, _state('e')), own, NOW)
+    assert not plans_while_stopping(_peer_table(earlier, last), own, NOW)
+    assert not plans_while_stopping(_peer_table(earlier, _state('e')), own, NOW)
     unready = _state('e', config_version=0)
-    assert leads_to_the_end(_book(earlier, unready), own, NOW)
+    assert plans_while_stopping(_peer_table(earlier, unready), own, NOW)
 
 
-def test_a_daemon_near_its_end_leaves_no_switch_half_done():
-    own = Told('a', NOW - LED_FOR - SOON)
-    assert not leads_to_the_end(PeerBook(OWN), own, NOW)
+def test_a_daemon_near_its_end_plans_no_more():
+    own = StopTime('a', NOW - MAX_PLANNING_TIME - SOON)
+    assert not plans_while_stopping(PeerBook(OWN), own, NOW)
