--- a/linnetwind/daemon_events.py
+++ b/linnetwind/daemon_events.py
@@ -1,4 +1,4 @@
-"""Events that every daemon logs: its start and its stop."""
+"""Events that all daemons log, among them start and stop."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A daemon has started; `start_id` names this life of its process."""
+    """A daemon has started; `start_id` identifies this start of its process."""
 
     role: str
     address: str
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """A signal asked the daemon to stop."""
+    """The daemon has received a stop signal."""
 
     open_requests: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """The daemon ends now."""
+    """The daemon ends now, after it has waited for its requests to end."""
 
     open_requests: int
     waited: timedelta
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadAnswer:
-    """An engine's answer is not in its format; it counts as none."""
+    """An engine's response is malformed; it counts as no response."""
 
     engine: str
     call: str
--- a/linnetwind/daemon_threads.py
+++ b/linnetwind/daemon_threads.py
@@ -1,4 +1,4 @@
-"""Threads of a daemon that go on whatever happens in one round."""
+"""Threads of a daemon that survive an exception in one of their rounds."""
 
 import threading
 import traceback
@@ -13,46 +13,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundFailed:
-    """Work in the background raised what nobody expected."""
+    """A round of background work raised an unexpected exception.
+
+    `work` names the thread, `problem` is the traceback.
+    """
 
     work: str
     problem: str
 
 
 class DaemonThreads:
-    """Starts threads, and logs what they raise.
+    """Starts threads, and logs the exceptions that they raise.
 
-    A thread that ends by an exception is not missed by anybody: the daemon
-    would go on with an old configuration or list of upstreams for ever. Each
-    round is therefore guarded by itself.
+    A thread that ends with an exception would go unnoticed: the daemon would
+    keep serving with an old configuration or list of upstreams. Therefore each
+    round of a thread catches and logs all exceptions.
     """
 
     def __init__(self, log: StepLog) -> None:
         """Start without threads.
 
         Args:
-          log: Told of rounds that fail.
+          log: Receives an event for each round that fails.
         """
         self._log = log
         self._pause = threading.Event()
 
     def once(self, work: Callable[[], None], name: str) -> None:
-        """Run something in a thread that does not keep the process alive.
+        """Run a function in a thread that does not keep the process alive.
 
         Args:
-          work: What to run.
-          name: The thread's name.
+          work: The function.
+          name: The name of the thread.
         """
         threading.Thread(
             target=self.guarded, args=(work, name), name=name, daemon=True
         ).start()
 
     def for_ever(self, work: Callable[[], timedelta | None], name: str) -> None:
-        """Repeat something in a thread until the process ends.
+        """Call a function repeatedly in a thread until the process ends.
 
         Args:
-          work: One round; returns how long to wait before the next.
-          name: The thread's name.
+          work: Runs one round and returns the time to wait before the next, or
+            None not to wait.
+          name: The name of the thread.
         """
         threading.Thread(
             target=self._repeat, args=(work, name), name=name, daemon=True
@@ -63,17 +67,17 @@
         listener: socket,
         serve: Callable[[socket], None],
         name: str,
-        most: int,
+        max_connections: int,
     ) -> None:
-        """Serve each connection to a listener in a thread of a pool.
+        """Accept connections and serve each one in a thread of a pool.
 
         Args:
           listener: A listening socket.
-          serve: Serves one connection; it is closed afterwards.
-          name: The threads' name.
-          most: The connections that are served at once.
+          serve: Serves one connection, which is closed afterwards.
+          name: The name of the threads.
+          max_connections: The connections that are served at once.
         """
-        pool = ThreadPoolExecutor(most, name)
+        pool = ThreadPoolExecutor(max_connections, name)
 
         def accept_one() -> None:  # noqa: WPS430
             sock, _peer = listener.accept()
@@ -82,13 +86,13 @@
         self.for_ever(accept_one, f'{name}-accept')
 
     def guarded(self, work: Callable[[], timedelta | None], name: str) -> None:
-        """Run one round; log what it raises and return.
+        """Run one round, and log an exception instead of raising it.
 
         Args:
           work: The round.
-          name: What to call it in the log.
+          name: The name of the work in the log.
         """
-        self._round(work, name)
+        self._run_round(work, name)
 
     def _serve(
         self, serve: Callable[[socket], None], sock: socket, name: str
@@ -98,11 +102,11 @@
 
     def _repeat(self, work: Callable[[], timedelta | None], name: str) -> None:
         while True:  # noqa: WPS457
-            pause = self._round(work, name)
+            pause = self._run_round(work, name)
             if pause is not None:
                 self._pause.wait(pause.total_seconds())
 
-    def _round(
+    def _run_round(
         self, work: Callable[[], timedelta | None], name: str
     ) -> timedelta | None:
         try:
--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -1,4 +1,4 @@
-"""The gateway's process: listeners, signals, and stopping."""
+"""The process of a gateway: its listeners, signals, and shutdown."""
 
 import socket
 import sys
@@ -36,29 +36,28 @@
 from linnetwind.upstream_call import open_call
 from linnetwind.upstream_list import Upstream
 
-# Connections that are served at once; each has a thread.
-_MOST_CONNECTIONS = 900
-_MOST_QUESTIONS = 4
+# The caller connections that are served at once, with a thread for each.
+_MAX_CONNECTIONS = 900
+_MAX_PROBES = 4
 _STACK_BYTES = 262_144
 _BACKLOG = 512
-# How long a thread computes before others get their turn. A stream's thread
-# waits for its turn after each read and write; at the interpreter's usual
-# 5 ms, streams passed on beside a thread that computes for 0.1 s paused for
-# all of it.
-_TURN_S = 0.0005
-_STOP_LOOK_S = 0.05
-# How long callers wait for the first configuration: some give up a request
-# that is not read within a second.
-_FIRST_NEWS_MS = 600
-_FIRST_NEWS = timedelta(milliseconds=_FIRST_NEWS_MS)
-_FIRST_LOOK_S = 0.005
-# How long the last lines of the log may take, and the part for them of the
-# time until the process is killed.
-_LAST_LINES = timedelta(seconds=1)
-_USE_OF_TIME_LEFT = 0.7
+# The interpreter's thread switch interval. A stream's thread waits for the
+# interpreter lock after each read and write. With the default of 5 ms, streams
+# paused for all of the 0.1 s that another thread computed.
+_SWITCH_INTERVAL_S = 0.0005
+_SHUTDOWN_POLL_S = 0.05
+# How long callers wait in the port's queue for the first configuration and
+# upstreams: some callers give up if their request is not read within a second.
+_FIRST_STATE_TIMEOUT_MS = 600
+_FIRST_STATE_TIMEOUT = timedelta(milliseconds=_FIRST_STATE_TIMEOUT_MS)
+_FIRST_STATE_POLL_S = 0.005
+# How long the process waits at most for its last log lines to be written: the
+# shorter of this time and this fraction of the time until it is killed.
+_LOG_FLUSH_TIMEOUT = timedelta(seconds=1)
+_LOG_FLUSH_FRACTION = 0.7
 _METRICS_TYPE = b'text/plain; version=0.0.4; charset=utf-8'
 
-# Limits before the first configuration.
+# The limits of callers before the first configuration.
 _FIRST_HEAD_BYTES = 16_384
 _FIRST_BODY_BYTES = 4_194_304
 _FIRST_IDLE_S = 15
@@ -84,19 +83,19 @@
 
         Args:
           setup: The settings.
-          ports: The platform.
+          ports: The interfaces to the platform.
           clock: The clock.
           log: The log.
         """
         threading.stack_size(_STACK_BYTES)
-        sys.setswitchinterval(_TURN_S)
+        sys.setswitchinterval(_SWITCH_INTERVAL_S)
         self._setup = setup
         self._ports = ports
         self._clock = clock
         self._log = log
         self._start_id = uuid.uuid4().hex[:8]
         self._metrics = GatewayMetrics()
-        log.observe_by(self._metrics.observe)
+        log.observe_with(self._metrics.observe)
         self._threads = DaemonThreads(log)
         self._state = GatewayState(clock, setup.mesh, setup.repeats)
         mesh = MeshSettings(
@@ -140,7 +139,7 @@
         )
 
     def run(self) -> None:
-        """Serve until SIGTERM, then stop without cutting a request."""
+        """Serve until SIGTERM, then shut down gracefully."""
         signals = StopSignals()
         setup = self._setup
         self._log.event(
@@ -151,22 +150,25 @@
         self._threads.for_ever(self._quarantines.keep_once, 'quarantines')
         self._threads.for_ever(self._planner.run_once, 'planner')
         self._threads.accept(
-            _listen(setup.readiness), self._say_ready, 'ready', _MOST_QUESTIONS
+            _listen(setup.readiness),
+            self._serve_readiness,
+            'ready',
+            _MAX_PROBES,
         )
         self._threads.accept(
             _listen(setup.metrics),
-            self._say_metrics,
+            self._serve_metrics,
             'metrics',
-            _MOST_QUESTIONS,
+            _MAX_PROBES,
         )
-        self._threads.once(self._take_callers, 'front')
+        self._threads.once(self._accept_callers, 'front')
         signals.wait(self._on_reload)
         self._stop.begin()
         self._drain()
 
     def _link(self, upstream: Upstream) -> RankLink:
-        # The agent runs on the upstream's own host, at a port that is the
-        # same everywhere.
+        # The rank agent runs on the upstream's host. All rank agents and
+        # gateways use the same port.
         agent = Address(upstream.address.ip, self._setup.mesh.port)
         return RankLink(agent, self._ports.open_rank(upstream), self._clock)
 
@@ -174,32 +176,33 @@
         table = self._state.table
         return table.limits if table else _FIRST_LIMITS
 
-    def _take_callers(self) -> None:
-        """Serve callers as soon as configuration and upstreams are known.
+    def _accept_callers(self) -> None:
+        """Accept callers once the configuration and the upstreams are known.
 
-        Both come within 0.02 s of the start, or not soon because the store is
-        away. Callers that wait in the port's queue were refused without them,
-        and had used their last try. The requests in quarantine are read
-        meanwhile: a first caller may send one of them.
+        Both arrive within 0.02 s of the start unless the store is unavailable.
+        Callers in the port's queue that were accepted before were rejected, and
+        had used up their last retry. The quarantined requests have to be read
+        as well, since the first caller may send one of them. If all this takes
+        too long, callers are accepted anyway.
         """
         pause = threading.Event()
-        until = self._clock.elapsed() + _FIRST_NEWS
-        while not self._knows_first() and self._clock.elapsed() < until:
-            pause.wait(_FIRST_LOOK_S)
+        until = self._clock.elapsed() + _FIRST_STATE_TIMEOUT
+        while not self._has_first_state() and self._clock.elapsed() < until:
+            pause.wait(_FIRST_STATE_POLL_S)
         self._threads.accept(
-            self._ports.front, self._serve, 'caller', _MOST_CONNECTIONS
+            self._ports.front, self._serve_caller, 'caller', _MAX_CONNECTIONS
         )
 
-    def _knows_first(self) -> bool:
-        return self._knows_all() and self._quarantines.has_read
+    def _has_first_state(self) -> bool:
+        return self._has_routing_state() and self._quarantines.has_read
 
-    def _knows_all(self) -> bool:
+    def _has_routing_state(self) -> bool:
         return self._state.table is not None and self._state.upstreams.end > 0
 
     def _is_ready(self) -> bool:
-        return self._knows_all() and self._stop.reports_ready()
+        return self._has_routing_state() and self._stop.reports_ready()
 
-    def _say_ready(self, sock: socket.socket) -> None:
+    def _serve_readiness(self, sock: socket.socket) -> None:
         connection = self._connection(sock)
         while not isinstance(
             connection.read_request(), BadRequest | CallerGone
@@ -212,13 +215,15 @@
             if not connection.reusable:
                 return
 
-    def _say_metrics(self, sock: socket.socket) -> None:
+    def _serve_metrics(self, sock: socket.socket) -> None:
         connection = self._connection(sock)
         if isinstance(connection.read_request(), CallerRequest):
-            kind = ((b'Content-Type', _METRICS_TYPE),)
-            connection.answer(HTTPStatus.OK, kind, self._metrics.render())
+            content_type = ((b'Content-Type', _METRICS_TYPE),)
+            connection.answer(
+                HTTPStatus.OK, content_type, self._metrics.render()
+            )
 
-    def _serve(self, sock: socket.socket) -> None:
+    def _serve_caller(self, sock: socket.socket) -> None:
         serve_caller(sock, self._tools, self._limits)
 
     def _connection(self, sock: socket.socket) -> CallerConnection:
@@ -227,22 +232,23 @@
         )
 
     def _drain(self) -> None:
-        """Stop in an order that loses no request.
+        """Shut down in an order that loses no request.
 
-        First the platform is told, while callers that do not know yet are
-        still served. Then newcomers are refused, idle connections are closed,
-        and the rest finishes. A process that ended as soon as nothing was
-        open took calls in its last milliseconds and cut them after they had
-        reached their upstream. It therefore begins nothing from the moment
-        at which no connection is open, and ends if then, still, none is: what
-        was begun before that moment is on a connection that is counted.
+        First the readiness probe fails, while callers are still routed here and
+        served. Then new requests are rejected, idle connections are closed, and
+        the requests in flight finish. A process that ended as soon as no
+        connection was open accepted calls in its last milliseconds, and cut
+        them after they had reached their upstream. Therefore it accepts no
+        request from the moment at which no connection is open, and ends if none
+        is open after that either: a request that was accepted before that
+        moment is on a connection that is counted.
         """
         self._log.event(Stopping(self._tools.open_work.requests))
         self._mesh.leave()
         since = self._clock.elapsed()
         pause = threading.Event()
         while not self._stop.is_over():
-            pause.wait(_STOP_LOOK_S)
+            pause.wait(_SHUTDOWN_POLL_S)
             if self._stop.may_end() and not self._tools.open_work.connections:
                 self._stop.end()
                 if not self._tools.open_work.connections:
@@ -250,16 +256,18 @@
         self._stop.end()
         waited = self._clock.elapsed() - since
         self._log.event(Stopped(self._tools.open_work.requests, waited))
-        self._log.finish(
-            min(_LAST_LINES, self._stop.time_left() * _USE_OF_TIME_LEFT)
+        self._log.wait_until_written(
+            min(
+                _LOG_FLUSH_TIMEOUT, self._stop.time_left() * _LOG_FLUSH_FRACTION
+            )
         )
 
     def _on_reload(self) -> None:
         self._threads.once(self._reload, 'reload')
 
     def _reload(self) -> None:
-        # Addresses stay as they are while the process runs, so there is
-        # nothing to take over; that the file was read is logged.
+        # Addresses do not change while the process runs, so no setting is
+        # applied; the event shows that the file was read.
         changed = self._ports.reload() != self._setup
         self._log.event(SettingsReloaded(changed))
 
--- a/linnetwind/gateway_events.py
+++ b/linnetwind/gateway_events.py
@@ -1,4 +1,4 @@
-"""All events that the gateway and the rank agents log, with their fields."""
+"""The events that gateways and rank agents log, with their fields."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,14 +6,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded:
-    """SIGHUP was received and the settings were read anew."""
+    """SIGHUP was received and the settings were read again."""
 
     changed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class DependencyLost:
-    """Something that the daemon needs has stopped answering."""
+    """A dependency of the daemon has stopped responding."""
 
     dependency: str
     problem: str
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DependencyBack:
-    """Something that the daemon needs answers again."""
+    """A dependency of the daemon responds again.
+
+    `away` is how long it did not.
+    """
 
     dependency: str
     away: timedelta
@@ -29,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCameBackOlder:
-    """The store came back from a copy and lost what was written since.
+    """The store was restored from an older copy and lost later records.
 
-    `era` counts such returns; `offset` is where it ends now.
+    `era` counts such restorations; `offset` is the new end of the records.
     """
 
     dependency: str
@@ -41,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """A newer configuration is in force here."""
+    """A newer configuration is in force on this daemon.
+
+    `before` is the version that it replaced, or 0.
+    """
 
     version: int
     before: int
@@ -52,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamsChanged:
-    """The list of upstreams that may be given work has changed."""
+    """The list of upstreams that accept requests has changed."""
 
     source: str
     offset: int
@@ -62,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """How a caller's request ended, and what decided it.
+    """A caller's request has ended; `reason` says why with this outcome.
 
-    All tries of one request share its `fingerprint`. `retry_after` is when the
-    caller was told to come back, None if it was not.
+    All retries of a request share its `fingerprint`. `retry_after` is the retry
+    delay in the response, or None if there was none.
     """
 
     request: str
@@ -87,7 +93,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """An upstream did not give a whole answer, and what follows."""
+    """An upstream did not send a complete response.
+
+    `next_step` is what the daemon does with the request.
+    """
 
     request: str
     upstream: str
@@ -99,10 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCrashed:
-    """An upstream broke off a request and does not listen any more.
+    """An upstream interrupted a request and does not listen any more.
 
-    `ran` is how long the request had been with it, `quarantine` how long it
-    is not sent on, None if it may be.
+    `ran` is how long the upstream had the request, `quarantine` how long the
+    request is not forwarded, or None if it may be.
     """
 
     request: str
@@ -115,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineRestored:
-    """A request that was in quarantine before this daemon began still is."""
+    """A request was in quarantine before this daemon started, and still is."""
 
     fingerprint: str
     crashes: int
@@ -123,9 +132,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitNamed:
-    """An upstream named a new limit, or none any more.
+    """An upstream named a new rate limit, or removed its limit.
 
-    `per_s` is how many requests a second it takes from all daemons together.
+    `per_s` is the number of requests per second that it accepts from all
+    daemons together, or None without a limit.
     """
 
     request: str
@@ -135,11 +145,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffAsked:
-    """An upstream refused a request and wants no more from here for a time.
+    """An upstream refused a request and asked this daemon to back off.
 
-    `backoff` is how long, `in_hand` how long this daemon had the request. If it
-    had asked before and the time was not over, `asked_before` is how long ago
-    that was and `left_before` what was left of the time.
+    `backoff` is for how long, `in_hand` how long this daemon had the request.
+    If an earlier backoff was still in force, `asked_before` is how long ago it
+    was asked for and `left_before` the remaining time of it.
     """
 
     request: str
@@ -152,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLeaves:
-    """An upstream has said in an answer that it is leaving."""
+    """An upstream has announced in a response that it is leaving."""
 
     request: str
     upstream: str
@@ -160,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSeen:
-    """Another gateway daemon was heard of for the first time."""
+    """A state of another gateway daemon was received for the first time."""
 
     peer: str
     address: str
@@ -168,7 +178,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLost:
-    """Another gateway daemon has been silent for too long."""
+    """Another gateway daemon has timed out.
+
+    `silent` is the time since its last state.
+    """
 
     peer: str
     silent: timedelta
@@ -176,14 +189,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderChanged:
-    """This daemon begins or ends to plan the expert maps."""
+    """This daemon has started or stopped planning the expert maps."""
 
     leads: bool
 
 
 @dataclass(frozen=True, slots=True)
 class MapPlanned:
-    """A new expert map was planned, or why none was."""
+    """A new expert map was planned, or none for the given reason."""
 
     group: str
     version: int
@@ -196,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MapStep:
-    """The rollout of an expert map has moved on."""
+    """The rollout of an expert map has entered a new stage."""
 
     group: str
     version: int
@@ -208,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """An engine refused an order or did not answer it."""
+    """An engine refused an order or did not respond to it."""
 
     rank: int
     order: str
@@ -227,10 +240,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BadRecord:
-    """A record of the store is not in its format.
+    """A record of the store is malformed.
 
-    A bad configuration leaves the one before in force. A bad entry names no
-    upstream, and its key names none until a good one follows.
+    A malformed configuration leaves the previous one in force. A malformed
+    upstream record removes the upstream of its key until a valid record
+    follows.
     """
 
     topic: str
--- a/linnetwind/gateway_feeds.py
+++ b/linnetwind/gateway_feeds.py
@@ -1,4 +1,4 @@
-"""What a gateway follows in the store: configuration and upstreams."""
+"""Keeps a gateway's configuration and upstreams in step with the store."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -24,17 +24,17 @@
 )
 from linnetwind.upstream_list import Registered, UpstreamList
 
-# How often a daemon looks whether a peer has a newer configuration, and how
-# long it leaves the store to bring it first.
-_BEHIND_LOOK_MS = 200
-_BEHIND_LOOK = timedelta(milliseconds=_BEHIND_LOOK_MS)
+# How often a daemon checks whether a peer has a newer configuration. It fetches
+# one from a peer if the store has not delivered it by the next check.
+_CONFIGURATION_CHECK_MS = 200
+_CONFIGURATION_CHECK_INTERVAL = timedelta(milliseconds=_CONFIGURATION_CHECK_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class FeedPorts:
-    """How records are read and decoded.
+    """The interfaces for reading and decoding records.
 
-    The decoders raise nothing, whatever a record holds.
+    The decoders raise no exception, whatever a record holds.
     """
 
     open_store: Callable[[], RecordStore]
@@ -44,7 +44,7 @@
 
 
 class GatewayFeeds:
-    """Follows the store and keeps the gateway's state up to date."""
+    """Follows the topics of the store and updates the gateway's state."""
 
     def __init__(
         self,
@@ -57,15 +57,15 @@
         """Start with nothing read.
 
         Args:
-          ports: How records are read and decoded.
-          state: The state to keep up to date.
-          peers: Asked while the store does not answer.
+          ports: The interfaces for reading and decoding records.
+          state: The state to update.
+          peers: Queried for records while the store does not respond.
           clock: The clock.
           log: The log.
         """
         self._ports = ports
         self._peers = peers
-        self._newer_told = 0
+        self._newer_advertised = 0
         self._in_force: KeyedRecord | None = None
         self._state = state
         self._clock = clock
@@ -78,92 +78,97 @@
                 topic,
                 ports.open_store(),
                 peers,
-                take,
-                self._paced(pace),
+                apply,
+                self._pace_for_fleet(pace),
                 clock,
                 log,
             )
-            for topic, take, pace in (
-                (Topic.CONFIGURATION, self._take_tables, configuration_pace),
-                (Topic.UPSTREAMS, self._take_upstreams, upstreams_pace),
+            for topic, apply, pace in (
+                (Topic.CONFIGURATION, self._apply_tables, configuration_pace),
+                (Topic.UPSTREAMS, self._apply_upstreams, upstreams_pace),
             )
         }
 
     def start(self, threads: DaemonThreads) -> None:
-        """Start following.
+        """Start the threads that follow the topics.
 
         Args:
           threads: Starts threads.
         """
         for topic, follower in self._followers.items():
             threads.for_ever(follower.follow_once, f'store-{topic.value}')
-        threads.for_ever(self._catch_up, 'configuration-behind')
+        threads.for_ever(
+            self._fetch_newer_configuration, 'configuration-behind'
+        )
 
     def copy(self, topic: Topic) -> Records | None:
-        """Return what has been read of a topic, for a peer.
+        """Return the records that were read of a topic, for a peer.
+
+        The configuration is the one in force on this daemon. A store that was
+        restored from an older copy may lack it until the operator writes it
+        again, and a daemon that starts meanwhile would serve with an older
+        configuration.
 
         Args:
           topic: The topic.
 
         Returns:
-          The records, or None if nothing was read. The configuration is the
-          one in force here: a store that came back older may not have it
-          until the operator writes it again, and a daemon that starts
-          meanwhile would serve by the one before.
+          The records, or None if none were read.
         """
-        found = self._followers[topic].copy()
-        if topic is not Topic.CONFIGURATION or found is None:
-            return found
+        copied = self._followers[topic].copy()
+        if topic is not Topic.CONFIGURATION or copied is None:
+            return copied
         if self._in_force is None:
-            return found
-        return replace(found, records=(self._in_force,))
+            return copied
+        return replace(copied, records=(self._in_force,))
 
-    def _paced(
+    def _pace_for_fleet(
         self, pace: Callable[[int], StorePace]
     ) -> Callable[[], StorePace]:
-        def paced() -> StorePace:  # noqa: WPS430
+        def pace_for_fleet() -> StorePace:  # noqa: WPS430
             live = self._state.peer_table.live(self._clock.elapsed())
             return pace(1 + len(live))
 
-        return paced
+        return pace_for_fleet
 
-    def _catch_up(self) -> timedelta:
-        """Take a configuration from a peer that had it before this daemon.
+    def _fetch_newer_configuration(self) -> timedelta:
+        """Fetch a newer configuration from a peer if the store lacks it.
 
-        A connection to the store may go silent without a reset; until that
-        shows, the daemon would serve by the configuration before, and refuse
-        callers whose keys are new.
+        A connection to the store may stop delivering without a reset. Until
+        that is detected, the daemon would serve with an old configuration and
+        reject callers whose keys are new.
 
         Returns:
-          How long to wait before the next look.
+          The time to wait before the next check.
         """
         live = self._state.peer_table.live(self._clock.elapsed())
-        told = max((each.config_version for each in live), default=0)
+        advertised = max((each.config_version for each in live), default=0)
         table = self._state.table
-        if table is None or told <= table.version:
-            return _BEHIND_LOOK
-        # Told at the look before already: the store had its time.
-        if told == self._newer_told:
-            found = self._peers.newest(Topic.CONFIGURATION)
-            if isinstance(found, Records):
-                news = News(found.records, found.end, True, False, 'peer')
-                self._take_tables(news)
-        self._newer_told = told
-        return _BEHIND_LOOK
-
-    def _take_tables(self, news: News) -> None:
+        if table is None or advertised <= table.version:
+            return _CONFIGURATION_CHECK_INTERVAL
+        # If it was advertised at the previous check already, the store has had
+        # enough time to deliver it.
+        if advertised == self._newer_advertised:
+            fetched = self._peers.newest(Topic.CONFIGURATION)
+            if isinstance(fetched, Records):
+                news = News(fetched.records, fetched.end, True, False, 'peer')
+                self._apply_tables(news)
+        self._newer_advertised = advertised
+        return _CONFIGURATION_CHECK_INTERVAL
+
+    def _apply_tables(self, news: News) -> None:
         for record in news.records:
-            wanted = record.key == self._ports.configuration_key
-            if wanted and record.content is not None:
-                self._take_table(record, news.source)
+            is_configuration = record.key == self._ports.configuration_key
+            if is_configuration and record.content is not None:
+                self._apply_table(record, news.source)
 
-    def _take_table(self, record: KeyedRecord, source: str) -> None:
+    def _apply_table(self, record: KeyedRecord, source: str) -> None:
         table = self._ports.decode_table(record.content)
         if isinstance(table, BadFormat):
-            # The configuration before it stays in force.
-            self._note_bad(Topic.CONFIGURATION, record, table)
+            # The previous configuration stays in force.
+            self._record_bad(Topic.CONFIGURATION, record, table)
             return
-        before = self._state.table
+        previous = self._state.table
         if self._state.apply_table(table):
             self._in_force = record
             self._state.change_upstreams(
@@ -172,40 +177,40 @@
             self._log.event(
                 ConfigurationApplied(
                     table.version,
-                    before.version if before else 0,
+                    previous.version if previous else 0,
                     source,
                     sum(len(each) for each in table.routes_by_host.values()),
                     len(table.customers_by_key),
                 )
             )
 
-    def _take_upstreams(self, news: News) -> None:
-        registered = [self._registered(each) for each in news.records]
+    def _apply_upstreams(self, news: News) -> None:
+        decoded = [self._decode_upstream(each) for each in news.records]
         if news.whole:
-            self._forget_bad({each.instance for each in registered})
-        before = self._state.change_upstreams(
-            lambda known: self._merge(known, registered, news)
+            self._discard_bad({each.instance for each in decoded})
+        previous = self._state.change_upstreams(
+            lambda known: self._merge(known, decoded, news)
         )
-        self._log_change(before, news)
+        self._log_changed_upstreams(previous, news)
 
-    def _registered(self, record: KeyedRecord) -> Registered:
-        """Return what a record says of its key; a bad one drops it.
+    def _decode_upstream(self, record: KeyedRecord) -> Registered:
+        """Decode a record; a malformed one removes the upstream of its key.
 
-        If the key's last good entry stayed in force, daemons that have read
-        it and daemons that read the whole list later would use different
+        If the last valid record of the key stayed in force, daemons that have
+        read it and daemons that read the list later would use different
         upstreams.
         """
         decoded = self._ports.decode_upstream(record)
         if isinstance(decoded, BadFormat):
-            self._note_bad(Topic.UPSTREAMS, record, decoded)
+            self._record_bad(Topic.UPSTREAMS, record, decoded)
             return Registered(record.key, record.offset, None)
         self._bad[Topic.UPSTREAMS].pop(record.key, None)
         return decoded
 
-    def _note_bad(
+    def _record_bad(
         self, topic: Topic, record: KeyedRecord, problem: BadFormat
     ) -> None:
-        """Log a bad record once: whole lists are read again and again."""
+        """Log a malformed record once, although lists are read repeatedly."""
         bad = BadRecord(
             topic.value,
             record.key,
@@ -217,41 +222,43 @@
             self._bad[topic][record.key] = bad
             self._log.event(bad)
 
-    def _forget_bad(self, listed: set[str]) -> None:
-        """Forget the bad records of keys that are gone, which have no end."""
+    def _discard_bad(self, listed: set[str]) -> None:
+        """Discard malformed records of removed keys, which would accumulate."""
         bad = self._bad[Topic.UPSTREAMS]
         self._bad[Topic.UPSTREAMS] = {
             key: bad[key] for key in bad if key in listed
         }
 
     def _merge(
-        self, known: UpstreamList, registered: list[Registered], news: News
+        self, known: UpstreamList, decoded: list[Registered], news: News
     ) -> UpstreamList:
         if not news.whole:
-            # Records of another era are read whole first.
+            # After a change of the era the whole list is read first.
             if news.era != known.era:
                 return known
-            return known.take(registered, news.end)
+            return known.take(decoded, news.end)
         return known.take_whole(
-            registered,
+            decoded,
             news.end,
             outage=news.after_outage,
             now=self._clock.elapsed(),
             era=news.era,
         )
 
-    def _log_change(self, before: UpstreamList, news: News) -> None:
-        old = _ready(before)
-        new = _ready(self._state.upstreams)
-        if old != new:
-            added = tuple(sorted(new - old))
-            removed = tuple(sorted(old - new))
+    def _log_changed_upstreams(
+        self, previous: UpstreamList, news: News
+    ) -> None:
+        active_before = _active_incarnations(previous)
+        active_now = _active_incarnations(self._state.upstreams)
+        if active_before != active_now:
+            added = tuple(sorted(active_now - active_before))
+            removed = tuple(sorted(active_before - active_now))
             self._log.event(
                 UpstreamsChanged(news.source, news.end, added, removed)
             )
 
 
-def _ready(upstreams: UpstreamList) -> set[str]:
+def _active_incarnations(upstreams: UpstreamList) -> set[str]:
     return {
         each.upstream.life
         for each in upstreams.records.values()
--- a/linnetwind/gateway_metrics.py
+++ b/linnetwind/gateway_metrics.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of a gateway, taken from the events that it logs.
+"""Counters and histograms of a gateway, derived from the events that it logs.
 
-Log and metrics cannot disagree, since a metric is a sum over events. Labels
-have few values each: no request, customer or instance.
+Log and metrics cannot disagree, since each metric aggregates events. Labels
+have few values: none holds a request, a customer or an instance.
 """
 
 from typing import Any
@@ -31,9 +31,11 @@
 )
 from linnetwind.step_log import LinesDropped
 
-# Seconds; the targets of first events are around half a second.
+# Histogram buckets in seconds; the targets for the first event of a stream are
+# around half a second.
 _LATENCIES = (0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1, 2, 4, 8)
-# Seconds; pauses between events are in time up to about a tenth.
+# Histogram buckets in seconds; the target for pauses between events is about
+# 0.1 s.
 _PAUSES = (0.025, 0.05, 0.075, 0.1, 0.12, 0.15, 0.2, 0.3, 0.5, 1, 2)
 
 
@@ -63,14 +65,14 @@
         self._stage = self._histogram('expert_map_stage_seconds', _LATENCIES)
 
     def observe(self, event: Any) -> None:
-        """Take an event into the metrics.
+        """Update the metrics with an event.
 
         Args:
-          event: Any event; those without a metric are passed over.
+          event: Any event; events without a metric are ignored.
         """
         match event:
             case RequestEnded():
-                self._take_request(event)
+                self._observe_request(event)
             case MapPlanned():
                 self._plans.inc()
             case MapStep():
@@ -90,7 +92,7 @@
                 self._count_failure(event)
 
     def render(self) -> bytes:
-        """Return the metrics as text."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _count_failure(self, event: Any) -> None:
@@ -109,7 +111,7 @@
             case BadAnswer():
                 self._answers.labels(event.call).inc()
 
-    def _take_request(self, event: RequestEnded) -> None:
+    def _observe_request(self, event: RequestEnded) -> None:
         self._requests.labels(event.outcome).inc()
         self._whole.observe(event.took.total_seconds())
         if event.first_byte is not None:
--- a/linnetwind/gateway_setup.py
+++ b/linnetwind/gateway_setup.py
@@ -1,4 +1,4 @@
-"""What a gateway daemon is told at its start."""
+"""The settings and the platform interfaces of a gateway daemon."""
 
 import socket
 from collections.abc import Callable
@@ -17,8 +17,10 @@
 class GatewaySetup:
     """The settings of a gateway daemon.
 
-    `mesh` is where peers reach it, `seeds` are peers to begin with. `power`
-    tells how much the host bears beside others, in any unit.
+    `front` is the address for callers, `mesh` the address for peers, and
+    `seeds` are the addresses of the first peers. `stop_within` is the grace
+    period: the time from SIGTERM until the process is killed. `power` is the
+    capacity of the host relative to other hosts, in any unit.
     """
 
     name: str
@@ -35,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayPorts:
-    """What the gateway needs from the platform it runs on.
+    """The interfaces of a gateway to the platform that it runs on.
 
-    `front` listens where callers connect. It was opened first of all, so that
-    callers wait in its queue while the daemon starts.
+    `front` is the listening socket for callers. It is opened before everything
+    else, so that callers wait in its queue while the daemon starts.
     """
 
     dialect: Dialect
--- a/linnetwind/step_log.py
+++ b/linnetwind/step_log.py
@@ -1,12 +1,12 @@
-"""Structured log lines that never block the work they tell of.
-
-Lines go through a bounded queue to one writing thread. If standard output
-is not read, the queue fills; further lines are dropped and counted, and the
-count is written as soon as there is room. loguru is not used here: without
-its queue a full pipe would hold up requests, and its queue rests on
-multiprocessing, for hosts on which a process starts no other. It also takes
-8.5 MB of each process (13.3 against 4.7 MB of own memory, measured by
-importing it alone).
+"""Structured logging that never blocks its callers.
+
+Lines go through a bounded queue to one writer thread. If nothing reads standard
+output, the queue fills up: further lines are dropped and counted, and the count
+is written as soon as there is room. loguru is not used here. Without its queue
+a full pipe would block requests; its queue is built on multiprocessing, but the
+daemons run on hosts on which a process does not start another one. It also
+takes 8.5 MB of memory in each process (13.3 instead of 4.7 MB, with nothing
+else imported).
 """
 
 import json
@@ -21,57 +21,62 @@
 
 from linnetwind.clock import Clock
 
-# Lines that wait for the writer; about 1 MB at 250 bytes a line.
-MOST_WAITING = 4_000
+# The longest queue of the writer: about 1 MB at 250 bytes a line.
+MAX_QUEUED_LINES = 4_000
 
 
 @dataclass(frozen=True, slots=True)
 class LinesDropped:
-    """The reader of the log was too slow for so many lines."""
+    """Lines were dropped, since the log was read too slowly.
+
+    `count` is how many lines.
+    """
 
     count: int
 
 
 class StepLog:
-    """Writes typed events as JSON lines, from a thread of its own."""
+    """Writes typed events as JSON lines, in a thread of its own."""
 
     def __init__(self, daemon: str, clock: Clock, stream: TextIO) -> None:
         """Start the writing thread.
 
         Args:
-          daemon: The daemon's name, for each line.
-          clock: For the time of each line.
-          stream: Where lines go.
+          daemon: The name of the daemon, which is part of each line.
+          clock: The clock, for the time in each line.
+          stream: The output.
         """
         self._daemon = daemon
         self._clock = clock
         self._stream = stream
-        # A queue without a lock that threads wait for in turn: beside eight
-        # callers that were refused in a loop the writer lost the race for it
-        # for 0.3 to 0.9 s, and a stopping daemon ended without its last line.
-        self._lines: queue.SimpleQueue[str | threading.Event]
-        self._lines = queue.SimpleQueue()
+        # A `SimpleQueue` has no lock for which threads compete. With such a
+        # lock and eight callers that were rejected in a loop, the writer did
+        # not get it for 0.3 to 0.9 s, and a stopping daemon ended without its
+        # last line.
+        self._queue: queue.SimpleQueue[str | threading.Event]
+        self._queue = queue.SimpleQueue()
         self._lock = threading.Lock()
         self._dropped = 0
-        self._observe: Callable[[Any], None] = _nothing
+        self._observe: Callable[[Any], None] = _do_nothing
         threading.Thread(target=self._write, name='log', daemon=True).start()
 
-    def observe_by(self, observe: Callable[[Any], None]) -> None:
-        """Have every event seen by somebody else as well, also dropped ones.
+    def observe_with(self, observe: Callable[[Any], None]) -> None:
+        """Set the function to call with each event, also with dropped ones.
 
         Args:
-          observe: It must return at once.
+          observe: The function, which must not block.
         """
         self._observe = observe
 
     def event(self, event: Any) -> None:
-        """Write an event; drop it if too many lines wait.
+        """Log an event, or drop it if the queue is full.
 
         Args:
-          event: A data class; its type's name and fields make the line.
+          event: An instance of a data class; its class name and fields are
+            written.
         """
         self._observe(event)
-        if self._lines.qsize() >= MOST_WAITING:
+        if self._queue.qsize() >= MAX_QUEUED_LINES:
             with self._lock:
                 self._dropped += 1
             return
@@ -81,41 +86,41 @@
                 self._dropped = 0
             if dropped.count:
                 self._observe(dropped)
-                self._lines.put(self._line(dropped))
-        self._lines.put(self._line(event))
+                self._queue.put(self._format_line(dropped))
+        self._queue.put(self._format_line(event))
 
-    def finish(self, most: timedelta) -> bool:
-        """Wait until all lines so far are written.
+    def wait_until_written(self, timeout: timedelta) -> bool:
+        """Wait until all lines logged so far are written.
 
         Args:
-          most: How long to wait at most, since nobody may read the log.
+          timeout: The longest wait, since the log may not be read.
 
         Returns:
-          Whether they are written.
+          Whether they were written in time.
         """
         written = threading.Event()
-        self._lines.put(written)
-        return written.wait(most.total_seconds())
+        self._queue.put(written)
+        return written.wait(timeout.total_seconds())
 
-    def _line(self, event: Any) -> str:
+    def _format_line(self, event: Any) -> str:
         line = {
             'time': self._clock.now().isoformat(timespec='milliseconds'),
             'daemon': self._daemon,
             'event': type(event).__name__,
             **asdict(event),
         }
-        return f'{json.dumps(line, default=_plain)}\n'
+        return f'{json.dumps(line, default=_to_json)}\n'
 
     def _write(self) -> None:
         while True:
-            batch = [self._lines.get()]
-            batch.extend(self._lines.get() for _ in range(self._lines.qsize()))
+            batch = [self._queue.get()]
+            batch.extend(self._queue.get() for _ in range(self._queue.qsize()))
             lines = [each for each in batch if isinstance(each, str)]
             try:
                 self._stream.write(''.join(lines))
                 self._stream.flush()
             except OSError:
-                # Nobody can be told: standard output itself is gone.
+                # The error cannot be reported: standard output is closed.
                 return
             for each in batch:
                 if isinstance(each, threading.Event):
@@ -126,8 +131,8 @@
     """Return a log that writes to standard output.
 
     Args:
-      daemon: The daemon's name.
-      clock: For the time of each line.
+      daemon: The name of the daemon.
+      clock: The clock, for the time in each line.
 
     Returns:
       The log.
@@ -135,14 +140,14 @@
     return StepLog(daemon, clock, sys.stdout)
 
 
-def _nothing(_event: Any) -> None:
-    """Do nothing, until there is an observer."""
+def _do_nothing(_event: Any) -> None:
+    """Do nothing; the default until an observer is set."""
 
 
-def _plain(found: Any) -> Any:
-    match found:
+def _to_json(field: Any) -> Any:
+    match field:
         case timedelta():
-            return round(found.total_seconds(), 4)
+            return round(field.total_seconds(), 4)
         case Enum():
-            return found.value
-    return str(found)
+            return field.value
+    return str(field)
