--- a/linnetwind/ages.py
+++ b/linnetwind/ages.py
@@ -1,4 +1,4 @@
-"""Moments in messages between daemons: told as ages, since clocks differ."""
+"""Times in messages between daemons, sent as ages since clocks differ."""
 
 from datetime import timedelta
 from typing import Annotated
@@ -6,18 +6,18 @@
 from msgspec import Meta
 
 _MS = timedelta(milliseconds=1)
-# Eleven days; larger numbers are not from a daemon, and overflow a time.
-_MOST_AGE_MS = 1_000_000_000
+# Eleven days. No daemon sends more, and larger numbers overflow `timedelta`.
+_MAX_AGE_MS = 1_000_000_000
 
-AgeMs = Annotated[int, Meta(ge=0, le=_MOST_AGE_MS)]
+AgeMs = Annotated[int, Meta(ge=0, le=_MAX_AGE_MS)]
 
 
 def age_of(moment: timedelta, now: timedelta) -> int:
-    """Return how long ago something was.
+    """Return the age of a time.
 
     Args:
       moment: A monotonic time of this process.
-      now: The monotonic time.
+      now: The current monotonic time.
 
     Returns:
       The age in milliseconds.
@@ -26,11 +26,11 @@
 
 
 def moment_of(age_ms: int, now: timedelta) -> timedelta:
-    """Return when something was that a peer told the age of.
+    """Return the time that a peer sent as an age.
 
     Args:
       age_ms: The age in milliseconds.
-      now: The monotonic time at which the message came.
+      now: The monotonic time at which the message arrived.
 
     Returns:
       The monotonic time of this process.
--- a/linnetwind/background.py
+++ b/linnetwind/background.py
@@ -1,4 +1,4 @@
-"""Work in the background that goes on whatever happens in one round."""
+"""Background threads, and rounds of work that may fail."""
 
 import threading
 from collections.abc import Callable
@@ -7,20 +7,20 @@
 
 
 def in_background(work: Callable[[], None], name: str) -> None:
-    """Run something in a thread that does not keep the process alive.
+    """Run a function in a thread that does not keep the process alive.
 
     Args:
-      work: What to run.
-      name: The thread's name.
+      work: The function.
+      name: The name of the thread.
     """
     threading.Thread(target=work, name=name, daemon=True).start()
 
 
 def guarded(work: Callable[[], None]) -> None:
-    """Run one round of a loop; log what it raises and return.
+    """Run one round of a loop, and log an exception instead of raising it.
 
-    A thread that ends by an exception is not missed by anybody: the daemon
-    would go on with an old configuration or host list for ever.
+    A thread that ends with an exception would go unnoticed: the daemon would
+    keep serving with an old configuration or list of hosts.
 
     Args:
       work: The round.
--- a/linnetwind/clock.py
+++ b/linnetwind/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that decisions never read the wall clock."""
+"""The clock as an interface, so that decisions never read system time."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -28,7 +28,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when it is told to."""
+    """A clock that moves only when `advance` is called."""
 
     def __init__(self, start: datetime) -> None:
         """Start the clock.
@@ -40,11 +40,11 @@
         self._elapsed = timedelta()
 
     def now(self) -> datetime:
-        """Return the start plus all the time that has been added."""
+        """Return the start time plus all the time that was added."""
         return self._start + self._elapsed
 
     def elapsed(self) -> timedelta:
-        """Return all the time that has been added."""
+        """Return all the time that was added."""
         return self._elapsed
 
     def advance(self, step: timedelta) -> None:
--- a/linnetwind/codec.py
+++ b/linnetwind/codec.py
@@ -1,7 +1,7 @@
-"""Frames of CBOR for closed sets of message types.
+"""CBOR frames for closed sets of message types.
 
-Apart from the messages of the product's own daemons, which cost each process
-that imports them 40 ms of its start.
+The module is separate from the messages of the entry and side daemons, since
+importing these adds 40 ms to the start of a process.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BadFrame:
-    """A frame that is no message of this protocol."""
+    """A frame that is not a message of the protocol."""
 
     problem: str
 
@@ -32,13 +32,14 @@
 
 
 class Codec:
-    """Frames for a closed set of message types.
+    """Encodes and decodes a closed set of message types.
 
-    A frame is a CBOR array: the type's position, then the fields in order.
+    A frame is a CBOR array of the type's tag, which is its position in the set,
+    and the fields in their order.
     """
 
     def __init__(self, types: tuple[type[Any], ...]) -> None:
-        """Prepare the tables.
+        """Assign the tags.
 
         Args:
           types: Frozen data classes, in the order of their tags.
@@ -82,9 +83,11 @@
 
     def _decode(self, frame: bytes) -> Any:
         tag, *fields = cbor2.loads(frame)
-        # Lists take negative numbers and truth values as positions as well;
-        # the fields would go to a type for which they were not meant.
+        # Negative numbers and booleans are valid list indexes too, and would
+        # decode the fields as a type that the sender did not mean.
         if not isinstance(tag, int) or isinstance(tag, bool) or tag < 0:
             raise TypeError(f'a tag cannot be {tag!r}')
-        named = dict(zip(self._names[tag], fields, strict=False))
-        return msgspec.convert(named, self._types[tag], builtin_types=(bytes,))
+        fields_by_name = dict(zip(self._names[tag], fields, strict=False))
+        return msgspec.convert(
+            fields_by_name, self._types[tag], builtin_types=(bytes,)
+        )
--- a/linnetwind/codec_test.py
+++ b/linnetwind/codec_test.py
@@ -1,4 +1,4 @@
-"""Tests of decoding frames: any bytes are a message or an error."""
+"""Tests of frames: any bytes decode to a message or an error."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Ask:
+class _Query:
     """A message."""
 
     number: int
@@ -22,26 +22,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _Copy:
-    """A message with records of a list, as neighbours send them."""
+    """A message with records of a list, as peers send them."""
 
     records: tuple[KeyedRecord, ...]
     end: int
 
 
-CODEC = Codec((_Ask, _Copy))
+CODEC = Codec((_Query, _Copy))
 COPY = _Copy((KeyedRecord('a', 3, b'\xff'), KeyedRecord('b', 4, None)), 5)
 
 
-def test_a_message_comes_back_as_it_was():
+def test_a_message_is_decoded_as_it_was_encoded():
     assert CODEC.decode(CODEC.encode(COPY)) == Ok(COPY)
-    assert CODEC.decode(CODEC.encode(_Ask(7))) == Ok(_Ask(7))
+    assert CODEC.decode(CODEC.encode(_Query(7))) == Ok(_Query(7))
 
 
 @pytest.mark.parametrize(
     'frame',
     [
-        # A tag that counts from the end, or is equal to a number, would give
-        # the fields to a type for which they were not meant.
+        # A tag that is negative, or that equals an integer without being one,
+        # would decode the fields as a type that the sender did not mean.
         [-1, [], 5],
         [-2, 7],
         [True, [], 5],
@@ -66,7 +66,7 @@
         [1, [{'key': 'a', 'content': b''}], 5],
     ],
 )
-def test_a_frame_that_is_nearly_a_message_is_an_error(frame):
+def test_a_frame_that_resembles_a_message_is_an_error(frame):
     assert isinstance(CODEC.decode(cbor2.dumps(frame)), Err)
 
 
@@ -74,7 +74,7 @@
 @given(st.binary(max_size=60) | plain_json().map(cbor2.dumps))
 def test_any_frame_is_a_message_or_an_error(frame):
     match CODEC.decode(frame):
-        case Ok(_Ask(number)):
+        case Ok(_Query(number)):
             assert type(number) is int
         case Ok(_Copy(records, end)):
             assert type(end) is int
--- a/linnetwind/convert.py
+++ b/linnetwind/convert.py
@@ -1,7 +1,7 @@
 """Checked conversion of plain data to frozen data classes.
 
-`msgspec` checks types and ranges; it passes over unknown keys of data
-classes, so those are found here by walking the type next to the data.
+`msgspec` checks types and ranges but ignores unknown keys of data classes, so
+unknown keys are found here by walking the type and the data side by side.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 Converted = TypeVar('Converted')
 
-_STEP = re.compile(r'([^.\[\]]+)')
+_PATH_STEP = re.compile(r'([^.\[\]]+)')
 
 
 def structure(
@@ -26,15 +26,16 @@
     target: type[Converted],
     file: str,
 ) -> tuple[Converted | None, list[ConfigError]]:
-    """Turn plain data into a data class and check it on the way.
+    """Convert plain data to a data class and check it.
 
     Args:
       plain: Maps, lists and scalars.
-      target: The data class to build.
-      file: Where the data came from, for the errors.
+      target: The data class.
+      file: The source of the data, for the errors.
 
     Returns:
-      The data class, or None when there are errors; and the errors.
+      The instance of the data class, or None if there are errors; and the
+      errors.
     """
     errors: list[ConfigError] = list(_unknown_keys(plain, target, file, ''))
     try:
@@ -55,14 +56,14 @@
 
 
 def _look_up(plain: Any, path: str) -> Any:
-    found = plain
-    for step in _STEP.findall(path):
+    current = plain
+    for step in _PATH_STEP.findall(path):
         key = int(step) if step.isdigit() else step
         try:
-            found = found[key]
+            current = current[key]
         except (KeyError, IndexError, TypeError):
             return None
-    return found
+    return current
 
 
 def _unknown_keys(
@@ -72,22 +73,24 @@
     if dataclasses.is_dataclass(target) and isinstance(plain, dict):
         yield from _unknown_in_map(plain, target, file, path)
     elif get_origin(target) is tuple and isinstance(plain, list):
-        inner = get_args(target)[0]
-        for index, part in enumerate(plain):
-            yield from _unknown_keys(part, inner, file, f'{path}[{index}]')
+        element_type = get_args(target)[0]
+        for index, element in enumerate(plain):
+            yield from _unknown_keys(
+                element, element_type, file, f'{path}[{index}]'
+            )
 
 
 def _unknown_in_map(
     plain: dict[str, Any], target: Any, file: str, path: str
 ) -> Iterator[UnknownKey]:
     hints = _hints(target)
-    for key, part in plain.items():
-        where = f'{path}.{key}' if path else str(key)
+    for key, element in plain.items():
+        inner_path = f'{path}.{key}' if path else str(key)
         hint = hints.get(key)
         if hint is None:
-            yield UnknownKey(file, where, tuple(hints))
+            yield UnknownKey(file, inner_path, tuple(hints))
         else:
-            yield from _unknown_keys(part, hint, file, where)
+            yield from _unknown_keys(element, hint, file, inner_path)
 
 
 @cache
--- a/linnetwind/peer.py
+++ b/linnetwind/peer.py
@@ -1,8 +1,8 @@
-"""The handshake between daemons, and frames on a websocket.
+"""Messages between entry and side daemons on a websocket, and the handshake.
 
-Both ends prove that they know the fleet key by a keyed digest over both
-nonces. Not all upstreams check who gives them an order, so the side daemon
-must know that its caller belongs to the fleet before it takes any call.
+Both ends prove that they know the fleet key by a keyed digest over the nonces
+of both. Not all upstreams authenticate their clients, so a side daemon must
+know that its client belongs to the fleet before it accepts any call.
 """
 
 import hashlib
@@ -25,7 +25,7 @@
 
 
 class Socket(Protocol):
-    """The part of a websocket connection that is used here."""
+    """The interface of a websocket connection that is used here."""
 
     def send(self, message: bytes) -> None:
         """Send one frame."""
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Who a daemon is; `incarnation` differs after each restart."""
+    """The identity of a daemon; each restart has another `incarnation`."""
 
     role: str
     name: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class PeerLost:
-    """The connection broke or the other end broke the protocol."""
+    """The connection was lost, or the other end violated the protocol."""
 
     problem: str
 
@@ -62,7 +62,7 @@
 
     Args:
       socket: The connection.
-      message: A type of `PEER_CODEC`.
+      message: An instance of one of the types of `PEER_CODEC`.
 
     Returns:
       Nothing, or why the message may not have been sent.
@@ -81,7 +81,7 @@
 
     Args:
       socket: The connection.
-      timeout: The longest wait in seconds, or None to wait for ever.
+      timeout: The longest wait in seconds, or None to wait without limit.
 
     Returns:
       The message, or why there is none.
@@ -100,15 +100,16 @@
 def greet(
     socket: Socket, identity: Identity, key: bytes
 ) -> Result[Challenge, PeerLost]:
-    """Do the handshake as the one who connects.
+    """Perform the handshake of the end that connects.
 
     Args:
       socket: The new connection.
-      identity: Who this daemon is.
+      identity: The identity of this daemon.
       key: The fleet key.
 
     Returns:
-      The listener's identity, or why it is not trusted.
+      The listener's challenge, which holds its identity, or why it is not
+      trusted.
     """
     hello = Hello(
         PROTOCOL_VERSION,
@@ -121,8 +122,8 @@
     match receive_message(socket, HANDSHAKE_SECONDS):
         case Ok(Challenge() as challenge):
             return _answer_challenge(socket, hello, challenge, key)
-        case Err() as lost:
-            return lost
+        case Err() as peer_lost:
+            return peer_lost
         case _:
             return Err(PeerLost('no challenge'))
 
@@ -130,24 +131,25 @@
 def welcome(
     socket: Socket, identity: Identity, key: bytes, config_offset: int
 ) -> Result[Hello, PeerLost]:
-    """Do the handshake as the one who listens.
+    """Perform the handshake of the end that listens.
 
     Args:
       socket: The new connection.
-      identity: Who this daemon is.
+      identity: The identity of this daemon.
       key: The fleet key.
-      config_offset: How far this daemon has folded the configuration.
+      config_offset: The offset up to which this daemon has folded the
+        configuration.
 
     Returns:
-      The caller's identity, or why it is not trusted.
+      The caller's hello, which holds its identity, or why it is not trusted.
     """
     match receive_message(socket, HANDSHAKE_SECONDS):
         case Ok(Hello(version=version) as hello):
             if version != PROTOCOL_VERSION:
                 return Err(PeerLost(f'protocol version {version}'))
             return _challenge(socket, hello, identity, key, config_offset)
-        case Err() as lost:
-            return lost
+        case Err() as peer_lost:
+            return peer_lost
         case _:
             return Err(PeerLost('no hello'))
 
@@ -162,8 +164,8 @@
     match receive_message(socket, HANDSHAKE_SECONDS):
         case Ok(Welcome()):
             return Ok(challenge)
-        case Err() as lost:
-            return lost
+        case Err() as peer_lost:
+            return peer_lost
         case _:
             return Err(PeerLost('no welcome'))
 
@@ -175,7 +177,7 @@
     key: bytes,
     config_offset: int,
 ) -> Result[Hello, PeerLost]:
-    bare = Challenge(
+    unproven = Challenge(
         PROTOCOL_VERSION,
         identity.name,
         identity.incarnation,
@@ -183,7 +185,7 @@
         b'',
         config_offset,
     )
-    challenge = replace(bare, proof=_listener_proof(key, hello, bare))
+    challenge = replace(unproven, proof=_listener_proof(key, hello, unproven))
     send_message(socket, challenge)
     match receive_message(socket, HANDSHAKE_SECONDS):
         case Ok(Proof(proof=proof)):
@@ -193,8 +195,8 @@
             return send_message(socket, Welcome()).map(
                 lambda _nothing: hello,
             )
-        case Err() as lost:
-            return lost
+        case Err() as peer_lost:
+            return peer_lost
         case _:
             return Err(PeerLost('no proof'))
 
@@ -210,13 +212,13 @@
 def _digest(
     key: bytes, label: bytes, hello: Hello, challenge: Challenge
 ) -> bytes:
-    names = (
+    identities = (
         hello.role,
         hello.name,
         hello.incarnation,
         challenge.name,
         challenge.incarnation,
     )
-    text = '\n'.join(names).encode()
+    text = '\n'.join(identities).encode()
     signed = b'\n'.join((label, hello.nonce, challenge.nonce, text))
     return hmac.new(key, signed, hashlib.sha256).digest()
--- a/linnetwind/peer_test.py
+++ b/linnetwind/peer_test.py
@@ -55,15 +55,16 @@
         return greeted.result(), welcomed.result()
 
 
-def test_both_ends_learn_who_the_other_is():
+def test_both_ends_learn_the_identity_of_the_other():
     greeted, welcomed = shake_hands(KEY, KEY)
     assert greeted.unwrap().name == 'side-0'
     assert greeted.unwrap().config_offset == 42
     assert welcomed.unwrap().incarnation == 'life-1'
 
 
-def test_caller_without_the_key_is_turned_away():
-    # A caller that does not check the listener gets as far as its proof.
+def test_caller_without_the_key_is_rejected():
+    # A caller that does not check the listener's proof still has to send its
+    # own.
     one, two = pipes()
     with ThreadPoolExecutor(1) as pool:
         welcomed = pool.submit(welcome, two, SIDE, KEY, 0)
@@ -75,12 +76,13 @@
 
 
 def test_listener_without_the_key_is_not_trusted():
-    # Somebody listens at a side's address: it must not get any call.
+    # Another process listens at the address of a side daemon. It must not
+    # receive any call.
     greeted, _welcomed = shake_hands(KEY, b'another')
     assert greeted.unwrap_err().problem == 'wrong fleet key'
 
 
-def test_other_version_is_turned_away():
+def test_other_protocol_version_is_rejected():
     one, two = pipes()
     send_message(one, Hello(PROTOCOL_VERSION + 1, 'entry', 'x', 'y', b'n'))
     assert welcome(two, SIDE, KEY, 0).is_err()
@@ -97,13 +99,13 @@
 
 
 @pytest.mark.parametrize('frame', BAD_FRAMES)
-def test_bad_frame_is_a_lost_peer(frame):
+def test_malformed_frame_is_a_lost_peer(frame):
     one, two = pipes()
     one.send(frame)
     assert receive_message(two, 1).is_err()
 
 
-def test_call_survives_the_wire():
+def test_call_is_decoded_as_it_was_encoded():
     call = Call(
         'c',
         'r',
--- a/linnetwind/peers.py
+++ b/linnetwind/peers.py
@@ -1,4 +1,4 @@
-"""Connections from one side daemon to other sides, for group notes."""
+"""Connections from a side daemon to other side daemons, for group messages."""
 
 import threading
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 from linnetwind.link import Link, open_link
 from linnetwind.peer import Identity
 
-_RETRY = timedelta(seconds=0.5)
+_RETRY_INTERVAL = timedelta(seconds=0.5)
 
 
 class PeerLinks:
-    """Links by host, opened when something is first sent."""
+    """Links to side daemons by host, opened when a message is first sent."""
 
     def __init__(
         self,
@@ -30,11 +30,12 @@
         """Start without links.
 
         Args:
-          identity: Who this daemon is.
+          identity: The identity of this daemon.
           key: The fleet key.
-          executor: Connects.
-          clock: For the wait between attempts.
-          address_of: The address of a host's side, or None if unknown.
+          executor: Runs the attempts to connect.
+          clock: The clock, for the time between attempts.
+          address_of: Returns the address of a host's side daemon, or None if it
+            is unknown.
         """
         self._identity = identity
         self._key = key
@@ -42,15 +43,15 @@
         self._clock = clock
         self._address_of = address_of
         self._links: dict[str, Link] = {}
-        self._tried: dict[str, timedelta] = {}
+        self._next_attempt_at: dict[str, timedelta] = {}
         self._lock = threading.Lock()
 
     def send(self, host: str, message: Any) -> None:
         """Send a message, or drop it if the host is not connected yet.
 
         Args:
-          host: The host's name.
-          message: The message; its sender repeats what must arrive.
+          host: The name of the host.
+          message: The message; its sender retries messages that must arrive.
         """
         with self._lock:
             link = self._links.get(host)
@@ -62,10 +63,10 @@
     def _connect_soon(self, host: str) -> None:
         now = self._clock.elapsed()
         with self._lock:
-            due = self._tried.get(host, now)
-            if due > now:
+            next_attempt_at = self._next_attempt_at.get(host, now)
+            if next_attempt_at > now:
                 return
-            self._tried[host] = now + _RETRY
+            self._next_attempt_at[host] = now + _RETRY_INTERVAL
         self._executor.submit(self._connect, host)
 
     def _connect(self, host: str) -> None:
@@ -79,4 +80,4 @@
 
 
 def _ignore(_link: Link, _message: Any) -> None:
-    """Drop messages that belong to no call; notes come to the server."""
+    """Drop a message that belongs to no call; peers send to the server."""
