--- a/linnetwind/daemon_threads.py
+++ b/linnetwind/daemon_threads.py
@@ -39,7 +39,7 @@
         self._log = log
         self._pause = threading.Event()
 
-    def once(self, work: Callable[[], None], name: str) -> None:
+    def run_in_thread(self, work: Callable[[], None], name: str) -> None:
         """Run a function in a thread that does not keep the process alive.
 
         Args:
--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -161,7 +161,7 @@
             'metrics',
             _MAX_PROBES,
         )
-        self._threads.once(self._accept_callers, 'front')
+        self._threads.run_in_thread(self._accept_callers, 'front')
         signals.wait(self._on_reload)
         self._stop.begin()
         self._drain()
@@ -263,7 +263,7 @@
         )
 
     def _on_reload(self) -> None:
-        self._threads.once(self._reload, 'reload')
+        self._threads.run_in_thread(self._reload, 'reload')
 
     def _reload(self) -> None:
         # Addresses do not change while the process runs, so no setting is
--- a/linnetwind/gateway_stop.py
+++ b/linnetwind/gateway_stop.py
@@ -74,7 +74,7 @@
     """Return the times of a graceful shutdown.
 
     Args:
-      begun_at: The monotonic time at which SIGTERM was received.
+      stop_started_at: The monotonic time at which SIGTERM was received.
       stop_within: The grace period: the time until the process is killed.
 
     Returns:
--- a/linnetwind/gateway_stop_test.py
+++ b/linnetwind/gateway_stop_test.py
@@ -304,7 +304,7 @@
         pytest.param((2.4, 1.6, 0.8, 0, 3.2, 4, 4.8, 5.6), id='eight in turn'),
     ],
 )
-def test_one_of_the_daemons_that_stop_in_turn_accepts_streams(stopped_at):
+def test_daemons_that_stop_one_after_another_always_take_streams(stopped_at):
     # All hosts are stopped within seconds. When each drained for itself from
     # 2.6 s after its SIGTERM, none accepted a stream for 2 to 4 s, and callers
     # were rejected by one after the other.
--- a/linnetwind/peer_book.py
+++ b/linnetwind/peer_book.py
@@ -93,10 +93,10 @@
     `running` counts the daemon's requests in flight by incarnation of their
     upstream, and `loads` describes its streams by service. `members` are the
     daemon addresses that it knows, `can_plan` whether it reaches all ranks.
-    `refused` are the fingerprints of requests whose callers were rejected and
-    asked to retry. `counter` increases with each message of one `start_id`.
-    `stopping_ms` is the time since a `leaving` daemon received its stop
-    signal, `site` the data centre of its callers. `power` is the relative
+    `refused` are the subjects of requests that were rejected lately and whose
+    callers were asked to retry. `counter` increases with each message of one
+    `start_id`. `stopping_ms` is the time since a `leaving` daemon received its
+    stop signal, `site` the data centre of its callers. `power` is the relative
     capacity of its host, for the choice of the planner. `crashes` are crashes
     of upstreams while they ran a request, `answered` the requests that were
     answered after such a crash. `limits` are the request rates that upstreams
@@ -250,7 +250,7 @@
     other hosts.
 
     Args:
-      book: The peers.
+      peer_table: The peers.
       own: This daemon.
       now: The monotonic time.
 
@@ -276,7 +276,7 @@
     """Return the request rate of each daemon for a service.
 
     Args:
-      book: The peers.
+      peer_table: The peers.
       own: The service, and the request rate of this daemon for it.
       now: The monotonic time.
 
