--- a/linnetwind/peer_wire.py
+++ b/linnetwind/peer_wire.py
@@ -222,20 +222,18 @@
             self._full_state_key = full_state_key
             self._full_until = now + _FULL_AFTER_CHANGE
         self._since_full += 1
-        is_full = (
-            now < self._full_until or self._since_full >= _FULL_STATE_EVERY
-        )
-        if is_full:
+        full = now < self._full_until or self._since_full >= _FULL_STATE_EVERY
+        if full:
             self._since_full = 0
-        return is_full
+        return full
 
 
-def _pack_summary(summary: GroupBrief, is_full: bool) -> _WireSummary:
+def _pack_summary(summary: GroupBrief, full: bool) -> _WireSummary:
     members = _pack([tag_life(each) for each in summary.members])
     return _WireSummary(
         **_copy_fields(summary, _SAME_IN_SUMMARIES),
         roster=zlib.crc32(members),
-        members=members if is_full else b'',
+        members=members if full else b'',
         slow=_pack([tag_life(each) for each in summary.slow]),
     )
 
