--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -180,10 +180,10 @@
         """Accept callers once the configuration and the upstreams are known.
 
         Both arrive within 0.02 s of the start unless the store is unavailable.
-        Callers in the port's queue that were accepted before were rejected, and
-        had used up their last retry. The quarantined requests have to be read
-        as well, since the first caller may send one of them. If all this takes
-        too long, callers are accepted anyway.
+        Callers in the port's queue that were accepted earlier were rejected,
+        and had used up their last retry. The quarantined requests have to be
+        read as well, since the first caller may send one of them. If all this
+        takes too long, callers are accepted anyway.
         """
         pause = threading.Event()
         until = self._clock.elapsed() + _FIRST_STATE_TIMEOUT
--- a/linnetwind/peer_book.py
+++ b/linnetwind/peer_book.py
@@ -21,7 +21,8 @@
 from linnetwind.upstream_limits import ServiceDemand, ToldLimit
 
 # The longest time between two states that a daemon sends, and the shortest
-# time between two states when its counts change.
+# time when its counts change. In a large fleet both are longer, see
+# `min_send_interval`.
 _MAX_SEND_INTERVAL_MS = 150
 MAX_SEND_INTERVAL = timedelta(milliseconds=_MAX_SEND_INTERVAL_MS)
 _MIN_SEND_INTERVAL_MS = 30
--- a/linnetwind/stop_turns.py
+++ b/linnetwind/stop_turns.py
@@ -21,8 +21,8 @@
 _MAX_PLANNING_MS = 5_000
 MAX_PLANNING_TIME = timedelta(milliseconds=_MAX_PLANNING_MS)
 # Daemons that received their stop signals within this time drain in the order
-# of their names: the messages that tell of a stop take up to 0.1 s on a busy
-# host, so that each daemon sees the others' signals later than its own.
+# of their names: the states that advertise a stop take up to 0.1 s on a busy
+# host, so that each daemon learns of the others' signals later than of its own.
 _SIMULTANEOUS_MS = 200
 _SIMULTANEOUS = timedelta(milliseconds=_SIMULTANEOUS_MS)
 
