--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -218,10 +218,8 @@
     def _serve_metrics(self, sock: socket.socket) -> None:
         connection = self._connection(sock)
         if isinstance(connection.read_request(), CallerRequest):
-            content_type = ((b'Content-Type', _METRICS_TYPE),)
-            connection.answer(
-                HTTPStatus.OK, content_type, self._metrics.render()
-            )
+            kind = ((b'Content-Type', _METRICS_TYPE),)
+            connection.answer(HTTPStatus.OK, kind, self._metrics.render())
 
     def _serve_caller(self, sock: socket.socket) -> None:
         serve_caller(sock, self._tools, self._limits)
--- a/linnetwind/gateway_feeds.py
+++ b/linnetwind/gateway_feeds.py
@@ -168,7 +168,7 @@
             # The previous configuration stays in force.
             self._record_bad(Topic.CONFIGURATION, record, table)
             return
-        previous = self._state.table
+        before = self._state.table
         if self._state.apply_table(table):
             self._in_force = record
             self._state.change_upstreams(
@@ -177,7 +177,7 @@
             self._log.event(
                 ConfigurationApplied(
                     table.version,
-                    previous.version if previous else 0,
+                    before.version if before else 0,
                     source,
                     sum(len(each) for each in table.routes_by_host.values()),
                     len(table.customers_by_key),
@@ -188,10 +188,10 @@
         decoded = [self._decode_upstream(each) for each in news.records]
         if news.whole:
             self._discard_bad({each.instance for each in decoded})
-        previous = self._state.change_upstreams(
+        before = self._state.change_upstreams(
             lambda known: self._merge(known, decoded, news)
         )
-        self._log_changed_upstreams(previous, news)
+        self._log_changed_upstreams(before, news)
 
     def _decode_upstream(self, record: KeyedRecord) -> Registered:
         """Decode a record; a malformed one removes the upstream of its key.
@@ -245,10 +245,8 @@
             era=news.era,
         )
 
-    def _log_changed_upstreams(
-        self, previous: UpstreamList, news: News
-    ) -> None:
-        active_before = _active_incarnations(previous)
+    def _log_changed_upstreams(self, before: UpstreamList, news: News) -> None:
+        active_before = _active_incarnations(before)
         active_now = _active_incarnations(self._state.upstreams)
         if active_before != active_now:
             added = tuple(sorted(active_now - active_before))
--- a/linnetwind/gateway_state.py
+++ b/linnetwind/gateway_state.py
@@ -133,8 +133,8 @@
           The old list.
         """
         with self._lock:
-            previous = self._upstreams
-            self._upstreams = change(previous)
+            before = self._upstreams
+            self._upstreams = change(before)
             # Statistics are dropped with their incarnation. Otherwise an
             # upstream that crashes again and again would use up the memory.
             living = self._upstreams.lives()
@@ -142,7 +142,7 @@
                 self._stats.pop(life)
         self._books.limits.keep_only(living)
         self._room.wake()
-        return previous
+        return before
 
     def hear(self, state: PeerState) -> None:
         """Apply the state that a peer sent.
--- a/linnetwind/gateway_state_test.py
+++ b/linnetwind/gateway_state_test.py
@@ -63,8 +63,8 @@
 def test_a_peers_requests_at_the_previous_incarnation_do_not_count(state):
     # The peer has an older list of upstreams, and its counts are for the
     # incarnation that has ended.
-    previous = _start(state, 5)
-    state.hear(_peer({previous.life: 4}))
+    before = _start(state, 5)
+    state.hear(_peer({before.life: 4}))
     assert state.group_running('plain') == 4
     _start(state, 9)
     assert state.group_running('plain') == 0
@@ -73,20 +73,20 @@
 def test_failures_of_the_previous_incarnation_do_not_bar_the_next(state):
     # An upstream could not be reached and gets no requests for some time. When
     # it restarted, the other upstream of the service still got all the calls.
-    previous = _start(state, 5)
+    before = _start(state, 5)
     _register(state, 6, make_upstream('b', 81))
     busy = next(
         each
         for each in state.upstreams.usable('plain', SECOND)
         if each.instance == 'b'
     )
-    state.note_miss(previous)
-    state.note_answer(previous, 900 * MS, failed=True)
+    state.note_miss(before)
+    state.note_answer(before, 900 * MS, failed=True)
     state.note_answer(busy, 90 * MS, failed=False)
     state.take_upstream(PLAIN, frozenset({'a'}))
     restarted = _start(state, 9)
     # A late failure of the previous incarnation.
-    state.note_miss(previous)
+    state.note_miss(before)
     assert state.take_upstream(PLAIN, frozenset()) == restarted
 
 
@@ -95,10 +95,10 @@
 
 
 def test_a_slow_rank_that_restarts_does_not_count_as_slow(state):
-    previous = _start(state, 5, 'model')
+    before = _start(state, 5, 'model')
     _register(state, 6, make_upstream('b', 81, 'model', slots=1))
-    slow = (previous.life,)
-    state.hear(_peer({}, _summary('g', previous.life, 'b', slow=slow)))
+    slow = (before.life,)
+    state.hear(_peer({}, _summary('g', before.life, 'b', slow=slow)))
     first = [state.take_upstream(MODEL, frozenset()) for _call in range(3)]
     assert {each.instance for each in first} == {'b'}
     restarted = _start(state, 9, 'model')
--- a/linnetwind/peer_wire_test.py
+++ b/linnetwind/peer_wire_test.py
@@ -72,8 +72,8 @@
 def test_a_state_of_the_previous_version_is_decoded():
     # While a new version is rolled out, both run side by side.
     tag, *values = cbor2.loads(pack_state(_state(), whole=True))
-    older = cbor2.dumps([tag, *values[:-4]])
-    assert StateReader().read(older, KNOWN) == _state()
+    before = cbor2.dumps([tag, *values[:-4]])
+    assert StateReader().read(before, KNOWN) == _state()
 
 
 def test_limits_are_part_of_every_state():
