--- a/linnetwind/record_follower.py
+++ b/linnetwind/record_follower.py
@@ -1,4 +1,4 @@
-"""Keeps up with a topic of the store, from peers while the store is away."""
+"""Follows a topic of the store, or peers' copies while it is unavailable."""
 
 import random
 from collections.abc import Callable
@@ -24,19 +24,20 @@
 from linnetwind.step_log import StepLog
 from linnetwind.store_pace import StorePace
 
-# The pause between two tries while the store is away, at random within this,
-# so that all daemons do not return to it together.
+# The longest wait before a retry while the store is unavailable. Each wait is
+# a random part of it, so that the daemons do not all retry at once.
 _RETRY_PAUSE_MS = 300
 RETRY_PAUSE = timedelta(milliseconds=_RETRY_PAUSE_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """Records that were read.
+    """Records of a topic that were read in one go.
 
-    `whole` says that these are the newest records of all keys, `after_outage`
-    that the store was away before, or came back older; `source` is for the
-    log, `era` that of the offsets.
+    `end` is the offset after the last record, in the store's `era`. `whole`
+    is true if these are the newest records of all keys. `after_outage` is
+    true if the store was unavailable before or was restored from an older
+    copy. `source` says for the log whether a peer or the store sent them.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -48,56 +49,56 @@
 
 
 class PeerCopies(Protocol):
-    """Asks other daemons for what they have read."""
+    """Fetches the records that other daemons have read."""
 
     def newest(self, topic: Topic) -> Records | StoreUnavailable:
         """Return a peer's newest records of a topic."""
 
 
 class RecordFollower:
-    """Reads one topic for ever and hands on what is new."""
+    """Reads one topic repeatedly and passes each update to a callback."""
 
     def __init__(
         self,
         topic: Topic,
         store: RecordStore,
         peers: PeerCopies,
-        take: Callable[[News], None],
+        on_update: Callable[[News], None],
         pace: Callable[[], StorePace],
         clock: Clock,
         log: StepLog,
     ) -> None:
-        """Start with nothing read.
+        """Initialize without any records.
 
         Args:
           topic: The topic.
           store: The store.
-          peers: Asked while the store does not answer.
-          take: Given what is read.
-          pace: Returns how often to read, which bounds the calls.
-          clock: For outages.
-          log: Told of outages.
+          peers: Queried while the store does not respond.
+          on_update: Called with each update.
+          pace: Returns the current rate limit of reads from the store.
+          clock: Measures the length of outages.
+          log: Receives the start and end of each outage.
         """
         self._topic = topic
         self._name = f'store-{topic.value}'
         self._store = store
         self._peers = peers
-        self._take = take
+        self._on_update = on_update
         self._pace = pace
         self._clock = clock
         self._log = log
         self._newest: dict[str, KeyedRecord] = {}
         self._position: Position | None = None
-        self._reads_whole = True
-        self._away_since: timedelta | None = None
+        self._needs_full_read = True
+        self._unavailable_since: timedelta | None = None
 
     @property
-    def is_away(self) -> bool:
-        """Return whether the store does not answer this daemon."""
-        return self._away_since is not None
+    def is_unavailable(self) -> bool:
+        """Return whether the store does not respond to this daemon."""
+        return self._unavailable_since is not None
 
     def copy(self) -> Records | None:
-        """Return the newest records that are known here, for a peer."""
+        """Return the newest records known to this daemon, for a peer daemon."""
         if self._position is None:
             return None
         return Records(
@@ -107,88 +108,89 @@
         )
 
     def follow_once(self) -> timedelta:
-        """Read once.
+        """Read from the store once, or from a peer if that fails.
 
         Returns:
-          How long to wait before the next reading.
+          How long to wait before the next read.
         """
-        whole = self._reads_whole or self.is_away
+        whole = self._needs_full_read or self.is_unavailable
         if whole:
-            found = self._store.newest(self._topic)
+            reply = self._store.newest(self._topic)
         else:
             wait = self._pace().wait
             start = self._position.offset
-            found = self._store.read(self._topic, start, wait)
-        match found:
-            case Records() if not whole and found.era != self._position.era:
-                # The offset is the next one of another era. What that has
-                # below it was never read here, and nothing would show it.
-                self._reads_whole = True
+            reply = self._store.read(self._topic, start, wait)
+        match reply:
+            case Records() if not whole and reply.era != self._position.era:
+                # The start offset belongs to another era. Records of the new
+                # era below it have not been read, and the offsets alone
+                # would not reveal the gap.
+                self._needs_full_read = True
                 return timedelta()
             case Records():
-                self._take_news(found, whole=whole)
-                return self._pace().rest
+                self._apply_records(reply, whole=whole)
+                return self._pace().interval
             case Trimmed():
-                self._reads_whole = True
+                self._needs_full_read = True
                 return timedelta()
             case StoreUnavailable(problem):
-                self._note_away(problem)
-                self._ask_peers()
+                self._record_outage(problem)
+                self._fetch_from_peers()
         return RETRY_PAUSE * random.uniform(0.5, 1)
 
-    def _take_news(self, found: Records, *, whole: bool) -> None:
-        is_older = self._position is not None and self._is_new_era(found)
-        after_outage = self.is_away or is_older
-        if self._away_since is not None:
-            away = self._clock.elapsed() - self._away_since
-            self._log.event(DependencyBack(self._name, away))
-            self._away_since = None
-        if is_older:
+    def _apply_records(self, batch: Records, *, whole: bool) -> None:
+        was_restored = self._position is not None and self._has_other_era(batch)
+        after_outage = self.is_unavailable or was_restored
+        if self._unavailable_since is not None:
+            outage = self._clock.elapsed() - self._unavailable_since
+            self._log.event(DependencyBack(self._name, outage))
+            self._unavailable_since = None
+        if was_restored:
             self._log.event(
-                StoreCameBackOlder(self._name, found.era, found.end)
+                StoreCameBackOlder(self._name, batch.era, batch.end)
             )
-        self._keep(found, whole=whole)
-        if found.records or whole:
-            self._tell(found, whole=whole, after_outage=after_outage)
+        self._remember(batch, whole=whole)
+        if batch.records or whole:
+            self._notify(batch, whole=whole, after_outage=after_outage)
 
-    def _is_new_era(self, found: Records) -> bool:
-        return found.era != self._position.era
+    def _has_other_era(self, batch: Records) -> bool:
+        return batch.era != self._position.era
 
-    def _tell(
+    def _notify(
         self,
-        found: Records,
+        batch: Records,
         *,
         whole: bool,
         after_outage: bool,
         source: str = 'store',
     ) -> None:
-        self._take(
+        self._on_update(
             News(
-                found.records,
-                found.end,
+                batch.records,
+                batch.end,
                 whole,
                 after_outage,
                 source,
-                found.era,
+                batch.era,
             )
         )
 
-    def _keep(self, found: Records, *, whole: bool) -> None:
+    def _remember(self, batch: Records, *, whole: bool) -> None:
         newest = {} if whole else dict(self._newest)
-        newest.update((each.key, each) for each in found.records)
+        newest.update((record.key, record) for record in batch.records)
         self._newest = newest
-        self._position = found.position
-        self._reads_whole = False
+        self._position = batch.position
+        self._needs_full_read = False
 
-    def _note_away(self, problem: str) -> None:
-        if self._away_since is None:
-            self._away_since = self._clock.elapsed()
+    def _record_outage(self, problem: str) -> None:
+        if self._unavailable_since is None:
+            self._unavailable_since = self._clock.elapsed()
             self._log.event(DependencyLost(self._name, problem))
 
-    def _ask_peers(self) -> None:
-        found = self._peers.newest(self._topic)
-        if not isinstance(found, Records):
+    def _fetch_from_peers(self) -> None:
+        batch = self._peers.newest(self._topic)
+        if not isinstance(batch, Records):
             return
-        if self._position is None or found.position > self._position:
-            self._keep(found, whole=True)
-            self._tell(found, whole=True, after_outage=True, source='peer')
+        if self._position is None or batch.position > self._position:
+            self._remember(batch, whole=True)
+            self._notify(batch, whole=True, after_outage=True, source='peer')
--- a/linnetwind/record_store.py
+++ b/linnetwind/record_store.py
@@ -1,4 +1,4 @@
-"""The port to the platform's store."""
+"""The interface to the platform's record store."""
 
 import enum
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Topic(enum.Enum):
-    """What the store keeps a newest record of for each key."""
+    """A topic of the store, which keeps the newest record of each key."""
 
     CONFIGURATION = 'configuration'
     UPSTREAMS = 'upstreams'
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Position:
-    """A place in a topic.
+    """A position in a topic, ordered by era and then by offset.
 
-    Offsets are in order within one `era` only: a store that comes back from an
-    older copy gives those that it lost out again, and its era rises.
+    Offsets are ordered within one `era` only: a store that is restored from an
+    older copy assigns the offsets of the lost records again, and its era rises.
     """
 
     era: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record; `content` is None if it drops the key."""
+    """A record of a key; `content` is None if the record deletes the key."""
 
     key: str
     offset: Annotated[int, Meta(ge=0)]
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Records in the order of their offsets, and the offset after the last.
+    """Records in offset order, and the offset after the last one.
 
-    `era` is 0 where the store states none.
+    `era` is 0 if the store does not report one.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -50,24 +50,24 @@
 
     @property
     def position(self) -> Position:
-        """Return the place after the last record."""
+        """Return the position after the last record."""
         return Position(self.era, self.end)
 
 
 @dataclass(frozen=True, slots=True)
 class Trimmed:
-    """The records asked for are deleted; the newest ones are to be read."""
+    """The requested records are deleted; read the newest ones instead."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store did not answer, or refused."""
+    """The store did not respond, or refused the request."""
 
     problem: str
 
 
 class RecordStore(Protocol):
-    """Reads records of the store, and writes those of the gateways."""
+    """A client that reads records and writes the records of the gateways."""
 
     def newest(self, topic: Topic) -> Records | StoreUnavailable:
         """Return the newest record of each key."""
@@ -75,12 +75,15 @@
     def read(
         self, topic: Topic, start: int, wait: timedelta
     ) -> Records | Trimmed | StoreUnavailable:
-        """Return the records from an offset on, waiting for the first."""
+        """Return the records from an offset on.
+
+        Waits up to `wait` if there is no such record yet.
+        """
 
     def append(
         self, topic: Topic, key: str, content: bytes | None
     ) -> StoreUnavailable | None:
-        """Write a record; return None once the store has it.
+        """Write a record; return None once the store has acknowledged it.
 
-        Without an answer it may still be written.
+        If the store does not respond, the record may still have been written.
         """
--- a/linnetwind/store_pace.py
+++ b/linnetwind/store_pace.py
@@ -1,68 +1,72 @@
-"""How often a daemon reads the store, by how many daemons do.
-
-The load that this answers: 35 daemons read two topics, 120 calls a second in
-all, most of them for heartbeats that change nothing. Each daemon reads less
-often where there are more of them: they tell each other of a newer
-configuration, and an upstream that is gone refuses connections before its
-entry goes.
+"""Rate limits of a daemon's reads from the store, by the number of daemons.
+
+All daemons poll the same store. 35 daemons reading two topics make 120 calls
+per second, most of which return only heartbeats that change nothing. To bound
+the total rate, each daemon reads less often the more daemons there are. Less
+frequent reads are safe: daemons advertise a newer configuration to each other,
+and an upstream that has stopped refuses connections before its record is
+deleted.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-# Up to so many daemons read as often as one would.
-_FEW = 8
-# Pauses after each reading. A configuration is rare; the list of upstreams
-# changes with every heartbeat. Both have to be known within two seconds of a
-# change, which leaves the longer pause one failed reading.
-_CONFIGURATION_REST_MS = 50
-_CONFIGURATION_REST = timedelta(milliseconds=_CONFIGURATION_REST_MS)
-_UPSTREAMS_REST_MS = 400
-_UPSTREAMS_REST = timedelta(milliseconds=_UPSTREAMS_REST_MS)
-_LONGEST_REST = timedelta(seconds=1)
-# How long a reading waits for news in the store. A connection that has gone
-# silent shows after this and the client's own margin, so it is kept below the
-# time in which a configuration has to be in force: two seconds where daemons
-# are few. Where they are many the others tell of a newer one meanwhile.
+# Up to this number of daemons each reads as often as a single one.
+_UNTHROTTLED_DAEMONS = 8
+# Intervals between reads. The configuration changes rarely; the list of
+# upstreams changes with every heartbeat. A change of either must take effect
+# within two seconds, which allows one failed read at the longest interval.
+_CONFIGURATION_INTERVAL_MS = 50
+_CONFIGURATION_INTERVAL = timedelta(milliseconds=_CONFIGURATION_INTERVAL_MS)
+_UPSTREAMS_INTERVAL_MS = 400
+_UPSTREAMS_INTERVAL = timedelta(milliseconds=_UPSTREAMS_INTERVAL_MS)
+_MAX_INTERVAL = timedelta(seconds=1)
+# How long a read waits in the store for new records (long polling). A
+# connection that hangs is detected only after this time plus the client's
+# margin, so it is below the time within which a configuration must be in
+# force: two seconds if there are few daemons. If there are many, a daemon
+# with a hanging connection learns of a newer configuration from the others.
 _POLL_WAIT_MS = 900
 POLL_WAIT = timedelta(milliseconds=_POLL_WAIT_MS)
-_LONGEST_POLL_MS = 1_800
-_LONGEST_POLL = timedelta(milliseconds=_LONGEST_POLL_MS)
+_MAX_POLL_WAIT_MS = 1_800
+_MAX_POLL_WAIT = timedelta(milliseconds=_MAX_POLL_WAIT_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class StorePace:
-    """The pause after each reading, and how long one waits for news."""
+    """The interval after each read, and how long a read waits for records."""
 
-    rest: timedelta
+    interval: timedelta
     wait: timedelta
 
 
 def configuration_pace(daemons: int) -> StorePace:
-    """Return how often the configuration is read.
+    """Return the rate limit for reads of the configuration.
 
     Args:
-      daemons: The daemons that live, this one included.
+      daemons: The number of live daemons, this one included.
 
     Returns:
-      The pace.
+      The rate limit.
     """
     return StorePace(
-        _CONFIGURATION_REST, _scale(POLL_WAIT, daemons, _LONGEST_POLL)
+        _CONFIGURATION_INTERVAL, _scale(POLL_WAIT, daemons, _MAX_POLL_WAIT)
     )
 
 
 def upstreams_pace(daemons: int) -> StorePace:
-    """Return how often the list of upstreams is read.
+    """Return the rate limit for reads of the list of upstreams.
 
     Args:
-      daemons: The daemons that live, this one included.
+      daemons: The number of live daemons, this one included.
 
     Returns:
-      The pace.
+      The rate limit.
     """
-    return StorePace(_scale(_UPSTREAMS_REST, daemons, _LONGEST_REST), POLL_WAIT)
+    return StorePace(
+        _scale(_UPSTREAMS_INTERVAL, daemons, _MAX_INTERVAL), POLL_WAIT
+    )
 
 
-def _scale(usual: timedelta, daemons: int, most: timedelta) -> timedelta:
-    return min(usual * max(1, daemons / _FEW), most)
+def _scale(base: timedelta, daemons: int, maximum: timedelta) -> timedelta:
+    return min(base * max(1, daemons / _UNTHROTTLED_DAEMONS), maximum)
