--- a/linnetwind/config_fold.py
+++ b/linnetwind/config_fold.py
@@ -1,12 +1,14 @@
 """The configuration as a fold over the records of one log stream.
 
-Every process folds the same records in offset order through `fold`, so all
-of them come to the same state. A publish is accepted when each part that it
-brings builds on the revision in force for that part, and when the whole,
-base with every overlay, has no errors. The first in offset order wins.
-
-A snapshot repeats the state as of `covers`, so that a process which starts
-after older records have expired can still fold the rest (`rebuild`).
+Every process folds the same records in offset order with `fold`, so all
+processes reach the same state. A publish is accepted if each part that it
+changes is based on the revision in force for that part, and if the resulting
+deployment, the base with all overlays, has no errors. Of two conflicting
+publishes the one with the lower offset wins.
+
+A snapshot contains the state after all records below the offset `covers`, so
+that a process that starts after older records have expired can still fold the
+remaining ones (`rebuild`).
 """
 
 import zlib
@@ -32,10 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PartUpdate:
-    """A new text for one part, and the revision that it builds on.
+    """A new document for one part, and the revision that it is based on.
 
-    `document` is the part as compressed CBOR. `based_on` is 0 for a part
-    that is new.
+    `document` is the part as compressed CBOR. `based_on` is 0 for a new part.
     """
 
     name: str
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """An operator's change of one or more parts, all or none."""
+    """An operator's atomic change of one or more parts."""
 
     publish_id: str
     operator: str
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartState:
-    """A part in force and the revision that brought it."""
+    """A part in force and the revision that last changed it."""
 
     name: str
     revision: int
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ConfigState:
-    """What is in force after folding all records below `next_offset`."""
+    """The configuration after folding all records below `next_offset`."""
 
     next_offset: int = 0
     revision: int = 0
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The publish is in force as this revision."""
+    """The publish took effect as this revision."""
 
     publish_id: str
     revision: int
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another publish changed the part first."""
+    """The publish is rejected: another one changed the part first."""
 
     publish_id: str
     part: str
@@ -103,7 +104,7 @@
     in_force: int
 
     def describe(self) -> str:
-        """Return the part, and the two revisions."""
+        """Return the part and the two revisions."""
         return (
             f'{self.part}: builds on revision {self.based_on}, '
             f'but revision {self.in_force} is in force'
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The whole would have errors."""
+    """The publish is rejected: the resulting deployment has errors."""
 
     publish_id: str
     errors: tuple[ConfigError, ...]
@@ -127,12 +128,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """Older records are gone and no snapshot covers them."""
+    """Older records have expired and no snapshot covers them."""
 
     first: int
 
     def describe(self) -> str:
-        """Return the lowest offset that is left."""
+        """Return the lowest offset that the log still keeps."""
         return f'no snapshot covers the records before offset {self.first}'
 
 
@@ -140,7 +141,7 @@
     """Return a part's document: compressed CBOR.
 
     Args:
-      plain: Maps, lists and scalars.
+      plain: The part as maps, lists and scalars.
 
     Returns:
       The document.
@@ -152,7 +153,7 @@
     """Return the plain data of a part's document.
 
     Args:
-      document: What `pack_part` gave.
+      document: The result of `pack_part`.
 
     Returns:
       Maps, lists and scalars.
@@ -161,7 +162,7 @@
 
 
 def split_deployment(deployment: Deployment) -> dict[str, bytes]:
-    """Return the documents of a deployment's parts by name.
+    """Return the documents of a deployment's parts by part name.
 
     Args:
       deployment: The base and the overlays.
@@ -194,20 +195,21 @@
         case Ok(Publish() as publish):
             return _fold_publish(after, publish)
         case _:
-            # A snapshot adds nothing to the state of who folded the records
-            # that it covers. Taking it in would bring back an old state if
-            # its writer was paused before appending it.
+            # A process that has folded the records that a snapshot covers
+            # learns nothing from it. Applying the snapshot would even restore
+            # an old state if its writer was paused before appending it.
             return after, None
 
 
 def rebuild(page: Page) -> Result[ConfigState, Expired]:
-    """Fold a stream from its first kept record on.
+    """Fold a stream from the first record that the log still keeps.
 
     Args:
       page: All records that the log still keeps.
 
     Returns:
-      The state at the end of the page.
+      The state at the end of the page, or an error if records have expired
+      that no snapshot covers.
     """
     state = ConfigState()
     if page.first > 0:
@@ -222,10 +224,10 @@
 
 
 def make_snapshot(state: ConfigState) -> Snapshot:
-    """Return the record that repeats a state.
+    """Return a snapshot of a state.
 
     Args:
-      state: The state to repeat.
+      state: The state.
 
     Returns:
       The snapshot.
@@ -235,7 +237,7 @@
 
 
 def state_from_snapshot(snapshot: Snapshot) -> ConfigState:
-    """Return the state that a snapshot repeats.
+    """Return the state that a snapshot contains.
 
     Args:
       snapshot: The snapshot.
@@ -263,31 +265,31 @@
     Returns:
       The one with the higher offset; `mine` when they are equal.
     """
-    # An older copy from a neighbour or a paused thread must not win, or a
-    # configuration in force would be taken back.
+    # An older copy from a peer daemon or from a paused thread must not win, or
+    # a configuration that is already in force would be reverted.
     return other if other.next_offset > mine.next_offset else mine
 
 
 def encode_state(state: ConfigState) -> bytes:
-    """Return a state as bytes for a neighbour.
+    """Encode a state for a peer daemon.
 
     Args:
-      state: The state to copy.
+      state: The state.
 
     Returns:
-      The same frame that a snapshot has in the log.
+      A frame in the format that snapshots have in the log.
     """
     return CONFIG_CODEC.encode(make_snapshot(state))
 
 
 def decode_state(copy: bytes) -> Result[ConfigState, BadFrame]:
-    """Return the state that a neighbour sent.
+    """Decode the state that a peer daemon sent.
 
     Args:
-      copy: What `encode_state` gave.
+      copy: The result of `encode_state`.
 
     Returns:
-      The state, or what is wrong with the copy.
+      The state, or the reason why the copy is invalid.
     """
     match CONFIG_CODEC.decode(copy):
         case Ok(Snapshot() as snapshot):
@@ -299,9 +301,9 @@
 
 
 def _latest_usable_snapshot(page: Page) -> ConfigState | None:
-    # A snapshot that covers less than up to the first kept record may lack
-    # a publish that has expired since; folding from it would take back an
-    # accepted configuration. So only a snapshot without a gap is used.
+    # Between a snapshot that ends below the first kept record and that record,
+    # publishes may have expired. Folding from it would lose an accepted
+    # configuration, so only snapshots without such a gap are usable.
     usable = [
         snapshot
         for snapshot in _snapshots(page)
@@ -309,7 +311,9 @@
     ]
     if not usable:
         return None
-    return state_from_snapshot(max(usable, key=lambda found: found.covers))
+    return state_from_snapshot(
+        max(usable, key=lambda candidate: candidate.covers)
+    )
 
 
 def _snapshots(page: Page) -> Iterable[Snapshot]:
@@ -322,7 +326,7 @@
 def _fold_publish(
     state: ConfigState, publish: Publish
 ) -> tuple[ConfigState, Verdict]:
-    conflict = _conflict(state, publish)
+    conflict = _find_conflict(state, publish)
     if conflict is not None:
         return state, conflict
     revision = state.revision + 1
@@ -338,11 +342,11 @@
     return folded, Accepted(publish.publish_id, revision)
 
 
-def _conflict(state: ConfigState, publish: Publish) -> Conflict | None:
-    # Settled by offset order alone: of two operators who build on the same
-    # revision the second to reach the log is told so, and nothing of the
-    # first is overwritten. It also makes a record harmless that was stored
-    # twice after a lost reply.
+def _find_conflict(state: ConfigState, publish: Publish) -> Conflict | None:
+    # Offset order alone decides: of two publishes based on the same revision
+    # the second in the log is rejected, so it never overwrites the first. The
+    # same check makes a record harmless that was stored twice because the
+    # reply to the first append was lost.
     for update in publish.updates:
         part = state.parts.get(update.name)
         in_force = part.revision if part else 0
@@ -356,14 +360,14 @@
 def _assemble(
     parts: Iterable[PartState],
 ) -> tuple[Deployment | None, list[ConfigError]]:
-    whole: dict[str, Any] = {'overlays': []}
-    for part in sorted(parts, key=lambda found: found.name):
+    deployment: dict[str, Any] = {'overlays': []}
+    for part in sorted(parts, key=lambda part_state: part_state.name):
         try:
             plain = unpack_part(part.document)
         except (zlib.error, cbor2.CBORDecodeError):
             plain = None
         if part.name == BASE_PART:
-            whole['base'] = plain
+            deployment['base'] = plain
         else:
-            whole['overlays'].append(plain)
-    return deployment_from_plain(whole)
+            deployment['overlays'].append(plain)
+    return deployment_from_plain(deployment)
--- a/linnetwind/config_fold_test.py
+++ b/linnetwind/config_fold_test.py
@@ -39,8 +39,8 @@
     return CONFIG_CODEC.encode(Publish(publish_id, 'operator', (update,)))
 
 
-def drained(number):
-    """A base that differs for each number."""
+def base_with_concurrency(number):
+    """Return a base whose only upstream has this concurrency."""
     upstream = replace(UPSTREAM, concurrency=number)
     return replace(BASE, services=(replace(SERVICE, upstreams=(upstream,)),))
 
@@ -55,10 +55,13 @@
 
 
 def history(count):
-    """Publishes that each build on the one before."""
+    """Return publishes that are each based on the previous one."""
     return [
         publish(
-            'base', number, documents(drained(number + 1))['base'], f'p{number}'
+            'base',
+            number,
+            documents(base_with_concurrency(number + 1))['base'],
+            f'p{number}',
         )
         for number in range(count)
     ]
@@ -69,7 +72,7 @@
 
 
 def page(records, first):
-    """The log after everything below `first` has expired."""
+    """Return the log after all records below `first` have expired."""
     entries = [
         Entry(offset, record)
         for offset, record in enumerate(records)
@@ -78,13 +81,13 @@
     return Page(first, len(records), tuple(entries))
 
 
-def test_first_of_two_operators_wins_and_the_other_is_told():
-    # Two operators build on revision 1. Both appends reach the log; offset
-    # order alone decides, so every process names the same loser.
+def test_second_of_two_conflicting_publishes_is_rejected():
+    # Two operators publish changes based on revision 1, and both reach the
+    # log. Offset order alone decides, so every process rejects the same one.
     records = [
         publish('base', 0, documents()['base'], 'start'),
-        publish('base', 1, documents(drained(2))['base'], 'ann'),
-        publish('base', 1, documents(drained(3))['base'], 'ben'),
+        publish('base', 1, documents(base_with_concurrency(2))['base'], 'ann'),
+        publish('base', 1, documents(base_with_concurrency(3))['base'], 'ben'),
     ]
     state, verdicts = fold_all(records)
     assert verdicts[1] == Accepted('ann', 2)
@@ -93,13 +96,15 @@
 
 
 def test_publish_that_was_stored_twice_takes_effect_once():
-    # The reply to the first append was lost and the publisher appended
-    # again, with another operator's change in between.
-    first = publish('base', 1, documents(drained(2))['base'], 'ann')
+    # The reply to the first append was lost and the publisher retried it, with
+    # another operator's change in between.
+    first = publish(
+        'base', 1, documents(base_with_concurrency(2))['base'], 'ann'
+    )
     records = [
         publish('base', 0, documents()['base'], 'start'),
         first,
-        publish('base', 2, documents(drained(3))['base'], 'ben'),
+        publish('base', 2, documents(base_with_concurrency(3))['base'], 'ben'),
         first,
     ]
     state, verdicts = fold_all(records)
@@ -107,7 +112,7 @@
     assert in_force(state) == 3
 
 
-def test_base_that_breaks_an_overlay_is_refused_whole():
+def test_base_that_makes_an_overlay_invalid_is_rejected():
     overlay = Overlay('north', drained=('codes-01',))
     both = documents(overlays=(overlay,))
     renamed = replace(UPSTREAM, name='codes-02')
@@ -137,15 +142,19 @@
 
 
 @pytest.mark.parametrize('first', range(1, 7))
-def test_rebuild_agrees_with_a_reader_that_saw_everything(first):
-    # Records 0 to first-1 have expired. A snapshot at offset 4 covers 0-3;
-    # two more publishes follow it.
+def test_rebuild_agrees_with_a_reader_of_all_records(first):
+    # Records 0 to first-1 have expired. A snapshot at offset 4 covers records
+    # 0 to 3; two more publishes follow it.
     records = history(4)
     state, _verdicts = fold_all(records)
     records.append(CONFIG_CODEC.encode(make_snapshot(state)))
     records += [
-        publish('base', 4, documents(drained(50))['base'], 'later'),
-        publish('base', 5, documents(drained(60))['base'], 'latest'),
+        publish(
+            'base', 4, documents(base_with_concurrency(50))['base'], 'later'
+        ),
+        publish(
+            'base', 5, documents(base_with_concurrency(60))['base'], 'latest'
+        ),
     ]
     continuous, _verdicts = fold_all(records)
     rebuilt = rebuild(page(records, first))
@@ -155,10 +164,10 @@
         assert rebuilt.unwrap_err() == Expired(first)
 
 
-def test_snapshot_of_a_paused_writer_never_brings_an_old_state_back():
-    # A writer takes a snapshot after two publishes and is paused. Two more
-    # publishes are accepted; then it wakes and appends its old snapshot.
-    # The log expires all publishes, so a new host sees only that snapshot.
+def test_late_snapshot_of_a_paused_writer_never_restores_an_old_state():
+    # A writer makes a snapshot after two publishes and is paused. Two more
+    # publishes are accepted; then the writer resumes and appends its outdated
+    # snapshot. All publishes expire, so a new host sees only that snapshot.
     records = history(2)
     old, _verdicts = fold_all(records)
     records = history(4)
@@ -166,11 +175,11 @@
     continuous, _verdicts = fold_all(records)
     assert in_force(continuous) == 4
     assert rebuild(page(records, 4)).unwrap_err() == Expired(4)
-    # While the publishes after it are still kept, it is good.
+    # The snapshot is usable as long as the log keeps the publishes after it.
     assert rebuild(page(records, 2)).unwrap() == continuous
 
 
-def test_older_copy_of_a_neighbour_is_passed_over():
+def test_older_copy_of_a_peer_is_ignored():
     old, _verdicts = fold_all(history(2))
     new, _verdicts = fold_all(history(3))
     copy = decode_state(encode_state(old)).unwrap()
@@ -178,23 +187,23 @@
     assert newer(copy, new) is new
 
 
-def test_neighbours_copy_goes_on_where_the_log_does():
-    # A host starts during a log outage, takes a copy, and goes on reading
-    # the log when it is back.
+def test_fold_continues_from_a_peers_copy():
+    # A host starts during a log outage, adopts a peer's copy, and continues
+    # with the log when it is available again.
     old, _verdicts = fold_all(history(2))
     copy = decode_state(encode_state(old)).unwrap()
     later, _verdicts = fold_all(history(4)[2:], copy)
     assert later == fold_all(history(4))[0]
 
 
-def test_garbage_in_the_stream_changes_nothing():
+def test_undecodable_records_are_ignored():
     records = [*history(1), b'\xff\x00', b'']
     state, verdicts = fold_all(records)
     assert verdicts[1:] == [None, None]
     assert (state.revision, state.next_offset) == (1, 3)
 
 
-def test_broken_document_is_refused():
+def test_publish_with_an_invalid_document_is_rejected():
     records = [publish('base', 0, b'no zlib')]
     state, verdicts = fold_all(records)
     assert isinstance(verdicts[0], Invalid)
--- a/linnetwind/follower_test.py
+++ b/linnetwind/follower_test.py
@@ -1,4 +1,4 @@
-"""Tests of following the configuration: outages, retention, snapshots."""
+"""Tests of the configuration follower: outages, retention, snapshots."""
 
 import random
 from datetime import UTC, datetime, timedelta
@@ -24,36 +24,36 @@
     return FakeLog()
 
 
-def follower(log, clock, seed=1):
+def make_follower(log, clock, seed=1):
     return Follower(log, clock, HOUR, random.Random(seed))
 
 
-def test_listener_hears_each_revision_once(log, clock):
-    heard = []
-    following = follower(log, clock)
-    following.listen(lambda state: heard.append(state.revision))
+def test_listener_is_notified_of_each_revision_once(log, clock):
+    revisions = []
+    follower = make_follower(log, clock)
+    follower.listen(lambda state: revisions.append(state.revision))
     for record in history(3):
         log.append(CONFIG_STREAM, [record])
-        following.poll()
-        following.poll()
-    assert heard == [0, 1, 2, 3]
+        follower.poll()
+        follower.poll()
+    assert revisions == [0, 1, 2, 3]
 
 
-def test_outage_keeps_what_is_in_force(log, clock):
+def test_configuration_stays_in_force_during_an_outage(log, clock):
     log.append(CONFIG_STREAM, history(2))
-    following = follower(log, clock)
-    following.poll()
+    follower = make_follower(log, clock)
+    follower.poll()
     log.down = True
-    assert following.poll().is_err()
-    assert in_force(following.state) == 2
+    assert follower.poll().is_err()
+    assert in_force(follower.state) == 2
 
 
-def test_host_started_in_an_outage_lives_on_a_neighbours_copy(log, clock):
+def test_host_started_in_an_outage_adopts_a_peers_state(log, clock):
     log.append(CONFIG_STREAM, history(2))
-    old = follower(log, clock)
+    old = make_follower(log, clock)
     old.poll()
     log.down = True
-    new = follower(log, clock)
+    new = make_follower(log, clock)
     new.adopt(old.copy())
     assert in_force(new.state) == 2
     log.down = False
@@ -62,63 +62,63 @@
     assert in_force(new.state) == 3
 
 
-def test_old_or_broken_copy_changes_nothing(log, clock):
+def test_older_or_invalid_copy_is_ignored(log, clock):
     log.append(CONFIG_STREAM, history(1))
-    old = follower(log, clock)
+    old = make_follower(log, clock)
     old.poll()
     log.append(CONFIG_STREAM, history(3)[1:])
-    new = follower(log, clock)
+    new = make_follower(log, clock)
     new.poll()
     new.adopt(old.copy())
     new.adopt(b'\xff')
     assert in_force(new.state) == 3
 
 
-def test_snapshots_carry_the_state_over_the_retention(log, clock):
-    # The publish expires; only the snapshot is left. A daemon that starts
-    # then, and one that slept through it all, come to the same state.
+def test_snapshot_preserves_the_state_beyond_the_retention(log, clock):
+    # The publishes expire and only the snapshot is left. A daemon that starts
+    # afterwards and one that was paused all the time reach the same state.
     log.append(CONFIG_STREAM, history(2))
-    awake, asleep = follower(log, clock), follower(log, clock)
+    awake, paused = make_follower(log, clock), make_follower(log, clock)
     awake.poll()
     clock.advance(2 * HOUR)
-    awake._round()
+    awake._poll_and_snapshot()
     log.expire(CONFIG_STREAM, 2)
-    started = follower(log, clock)
-    for each in (asleep, started):
-        assert each.poll().is_ok()
-        assert in_force(each.state) == 2
+    started = make_follower(log, clock)
+    for reader in (paused, started):
+        assert reader.poll().is_ok()
+        assert in_force(reader.state) == 2
 
 
-def test_without_a_snapshot_a_new_daemon_says_so(log, clock):
+def test_poll_fails_if_records_expired_without_a_snapshot(log, clock):
     log.append(CONFIG_STREAM, history(2))
     log.expire(CONFIG_STREAM, 2)
-    started = follower(log, clock)
+    started = make_follower(log, clock)
     assert started.poll().is_err()
     assert started.state.revision == 0
 
 
-def test_one_snapshot_an_interval_is_enough(log, clock):
-    # Every daemon may write one; the first one's is seen by the others.
+def test_only_one_daemon_writes_a_snapshot_per_interval(log, clock):
+    # Every daemon may write one; the others see the first one and skip theirs.
     log.append(CONFIG_STREAM, history(1))
-    daemons = [follower(log, clock, seed) for seed in range(5)]
-    for each in daemons:
-        each.poll()
+    daemons = [make_follower(log, clock, seed) for seed in range(5)]
+    for daemon in daemons:
+        daemon.poll()
     clock.advance(2 * HOUR)
-    for each in daemons:
-        each._round()
+    for daemon in daemons:
+        daemon._poll_and_snapshot()
     assert len(log.streams[CONFIG_STREAM]) == 2
 
 
-def test_round_that_raises_does_not_end_the_thread(log, clock):
-    following = follower(log, clock)
+def test_exception_in_a_poll_does_not_end_the_thread(log, clock):
+    follower = make_follower(log, clock)
     calls = []
 
     def broken(_stream, _start):
         calls.append(1)
         if len(calls) > 1:
-            following.stop()
+            follower.stop()
         raise RuntimeError
 
     log.read = broken
-    following.run(timedelta())
+    follower.run(timedelta())
     assert len(calls) == 2
--- a/linnetwind/publisher.py
+++ b/linnetwind/publisher.py
@@ -1,4 +1,4 @@
-"""Publishing a change once, whatever happens to the log's replies."""
+"""Publishes a configuration change once, even if replies are lost."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -26,15 +26,16 @@
 
 @dataclass(frozen=True)
 class Unresolved:
-    """The log went out; the publish may or may not be in it."""
+    """The log became unavailable; it may or may not contain the publish."""
 
     publish_id: str
 
     def describe(self) -> str:
-        """Return what is known and what to do."""
+        """Return the problem and the advice to retry."""
         return (
-            f'publish {self.publish_id}: the log service is out; '
-            'it is not known whether the change is in; run it again later'
+            f'publish {self.publish_id}: the log service is unavailable; '
+            'the change may or may not have been stored; '
+            'run the command again later'
         )
 
 
@@ -47,7 +48,7 @@
       log: The log service.
 
     Returns:
-      The state at the end of the stream, or why it cannot be had.
+      The state at the end of the stream, or why it cannot be read.
     """
     return read_to_end(log, CONFIG_STREAM, 0).and_then(rebuild)
 
@@ -59,18 +60,18 @@
     publish_id: str,
     operator: str,
 ) -> Publish:
-    """Make the publish that turns the state into the deployment.
+    """Build the publish that changes the state to the deployment.
 
     Args:
-      deployment: What the operator wants.
-      state: What is in force.
-      based_on: The revision that the operator's files were made from, or
-        None for what is in force.
-      publish_id: An id that no other publish has.
-      operator: Who publishes, for the record.
+      deployment: The desired deployment.
+      state: The state in force.
+      based_on: The revision that the operator's files are based on, or None
+        for the revision in force.
+      publish_id: A unique id.
+      operator: The operator's name, stored with the publish.
 
     Returns:
-      A publish of the changed parts; it has no updates if none changed.
+      A publish of the changed parts; without updates if no part changed.
     """
     updates = []
     for name, document in split_deployment(deployment).items():
@@ -78,10 +79,10 @@
         if part is None:
             updates.append(PartUpdate(name, 0, document))
         elif part.document != document:
-            known = part.revision
+            base_revision = part.revision
             if based_on is not None:
-                known = min(part.revision, based_on)
-            updates.append(PartUpdate(name, known, document))
+                base_revision = min(part.revision, based_on)
+            updates.append(PartUpdate(name, base_revision, document))
     return Publish(publish_id, operator, tuple(updates))
 
 
@@ -92,37 +93,37 @@
     waits: Iterable[float],
     sleep: Callable[[float], None],
 ) -> Verdict | Unresolved:
-    """Append a publish, and find its verdict by reading it back.
+    """Append a publish, and determine its verdict by reading the log.
 
-    A reply that is lost leaves open whether the record is in the log, so
-    it is looked for before it is appended again. Should it be in the log
-    twice after all, the second one builds on a revision that the first
-    has replaced, and the fold passes over it.
+    If the reply to an append is lost, the record may or may not be in the log,
+    so the log is searched for it before the append is retried. If the record
+    is stored twice nevertheless, the second copy is based on a revision that
+    the first one has replaced, and the fold rejects it as a conflict.
 
     Args:
       log: The log service.
-      state: What was in force when the publish was prepared.
+      state: The state from which the publish was prepared.
       publish: The publish.
-      waits: The pauses between tries, in seconds; their end is the last.
-      sleep: Waits a number of seconds.
+      waits: The delay after each attempt, in seconds; one attempt per item.
+      sleep: Sleeps for a number of seconds.
 
     Returns:
-      The verdict, or that it is not known.
+      The verdict, or `Unresolved` if no attempt has determined it.
     """
     record = CONFIG_CODEC.encode(publish)
     absent = True
     confirmed = False
-    for pause in waits:
+    for delay in waits:
         if absent:
             confirmed = log.append(CONFIG_STREAM, [record]).is_ok()
         page = read_to_end(log, CONFIG_STREAM, state.next_offset)
         verdict = _verdict_in(page.unwrap_or(_EMPTY), state, publish.publish_id)
         if verdict is not None:
             return verdict
-        # Only a read that reached the log and did not find the record
-        # allows appending it again.
+        # The append is retried only after a read that succeeded and did not
+        # find the record.
         absent = page.is_ok() and not confirmed
-        sleep(pause)
+        sleep(delay)
     return Unresolved(publish.publish_id)
 
 
