--- a/linnetwind/address.py
+++ b/linnetwind/address.py
@@ -1,4 +1,4 @@
-"""Where a process listens."""
+"""IPv4 addresses with ports."""
 
 import re
 from dataclasses import dataclass
@@ -6,34 +6,34 @@
 
 from msgspec import Meta
 
-_LAST_PORT = 65_535
-_LAST_NUMBER = 255
-# The first number of addresses of many hosts, and of none above them.
-_FIRST_MULTICAST = 224
-# Without leading zeros, which some readers take for octal numbers.
+_MAX_PORT = 65_535
+_MAX_OCTET = 255
+# The first octet of multicast addresses; those above it are reserved.
+_FIRST_MULTICAST_OCTET = 224
+# Leading zeros are not accepted: some parsers read such numbers as octal.
 _IP_AND_PORT = re.compile(
     r'(?P<ip>(?:0|[1-9][0-9]{0,2})(?:\.(?:0|[1-9][0-9]{0,2})){3})'
     ':(?P<port>[1-9][0-9]{0,4})'
 )
 
-Port = Annotated[int, Meta(ge=0, le=_LAST_PORT)]
+Port = Annotated[int, Meta(ge=0, le=_MAX_PORT)]
 IpAddress = Annotated[str, Meta(pattern=r'^[0-9]+(\.[0-9]+){3}$')]
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IPv4 address and a port."""
 
     ip: IpAddress
     port: Port
 
     def __str__(self) -> str:
-        """Return the address as it stands in a URL."""
+        """Return the address in the form IP:PORT, as in a URL."""
         return f'{self.ip}:{self.port}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address of a host, written as IP:PORT.
+    """Parse the address of a host, written as IP:PORT.
 
     Args:
       text: The text.
@@ -42,17 +42,17 @@
       The address.
 
     Raises:
-      ValueError: No host can be reached at such an address.
+      ValueError: The text has another form, or no host can have the address.
     """
-    found = _IP_AND_PORT.fullmatch(text)
-    if found is None:
+    match = _IP_AND_PORT.fullmatch(text)
+    if match is None:
         raise ValueError('is not IP:PORT')
-    ip, port = found['ip'], int(found['port'])
-    numbers = [int(number) for number in ip.split('.')]
-    if max(numbers) > _LAST_NUMBER:
+    ip, port = match['ip'], int(match['port'])
+    octets = [int(octet) for octet in ip.split('.')]
+    if max(octets) > _MAX_OCTET:
         raise ValueError('is no IP address')
-    if not 0 < numbers[0] < _FIRST_MULTICAST:
+    if not 0 < octets[0] < _FIRST_MULTICAST_OCTET:
         raise ValueError('is the IP address of no host')
-    if not 0 < port <= _LAST_PORT:
+    if not 0 < port <= _MAX_PORT:
         raise ValueError('has a port out of range')
     return Address(ip, port)
--- a/linnetwind/config.py
+++ b/linnetwind/config.py
@@ -1,7 +1,7 @@
-"""The deployment as operators describe it: a base and an overlay per site.
+"""Data types of the configuration: a base and one overlay per site.
 
-These are data types only; `config_loader` reads and checks them,
-`config_merge` applies an overlay.
+Operators write both as YAML files. `config_loader` reads and validates them,
+`config_merge` applies the overlays.
 """
 
 import enum
@@ -10,24 +10,24 @@
 
 from msgspec import Meta
 
-_MOST = 1_000_000_000
-_SHORTEST_SECONDS = 0.001
+_MAX_INT = 1_000_000_000
+_MIN_SECONDS = 0.001
 _DAY_SECONDS = 86_400
-_MOST_LAYERS = 256
-_MOST_SLOTS = 64
-_MOST_SAMPLED = 64
-_LONGEST_HOP_MS = 10_000
+_MAX_LAYERS = 256
+_MAX_SLOTS = 64
+_MAX_SAMPLE_SIZE = 64
+_MAX_REGION_MS = 10_000
 
 Name = Annotated[str, Meta(pattern='^[a-z][a-z0-9-]{0,62}$')]
 Digest = Annotated[str, Meta(pattern='^[0-9a-f]{64}$')]
-PositiveInt = Annotated[int, Meta(ge=1, le=_MOST)]
-Seconds = Annotated[float, Meta(ge=_SHORTEST_SECONDS, le=_DAY_SECONDS)]
+PositiveInt = Annotated[int, Meta(ge=1, le=_MAX_INT)]
+Seconds = Annotated[float, Meta(ge=_MIN_SECONDS, le=_DAY_SECONDS)]
 Ratio = Annotated[float, Meta(ge=0, le=1)]
 Weight = Annotated[float, Meta(ge=0, le=1000)]
 
 
 class ServiceKind(enum.StrEnum):
-    """How callers reach a service."""
+    """The protocol between callers and a service."""
 
     MODEL = 'model'
     PLAIN = 'plain'
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """A data centre and the region that it lies in."""
+    """A data centre and its region."""
 
     name: Name
     region: Name
@@ -45,7 +45,7 @@
 class Upstream:
     """One worker or plain server, and the host that it runs on.
 
-    `concurrency` is the number of requests that it serves at once.
+    `concurrency` is the number of requests that it serves concurrently.
     """
 
     name: Name
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class CallPattern:
-    """Calls by HTTP method and path prefix."""
+    """Matches requests by HTTP method and path prefix."""
 
     method: Annotated[str, Meta(pattern='^[A-Z]+$')]
     path_prefix: Annotated[str, Meta(pattern='^/')]
@@ -66,8 +66,9 @@
 class Service:
     """A set of interchangeable upstreams under one name.
 
-    `unrepeatable` lists the calls that may run at most once. Calls of a
-    model service may always be repeated until their first token went out.
+    `unrepeatable` lists the requests that may run at most once. Requests to a
+    model service may always be retried until the caller has received the first
+    token.
     """
 
     name: Name
@@ -80,10 +81,10 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Somebody whose requests are limited as one.
+    """A customer, whose requests share one set of limits.
 
-    `key_sha256` is the digest of the customer's key; the key itself never
-    enters the configuration. `priority` 0 is served first.
+    `key_sha256` is the digest of the customer's API key; the key itself is
+    never part of the configuration. Requests of `priority` 0 are served first.
     """
 
     name: Name
@@ -95,10 +96,11 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """How experts are placed in a group.
+    """Settings of the expert placement in a group.
 
-    `skew_weight` and `cost_weight` price a second of straggling against a
-    second of moving weights. `max_moves` bounds the experts moved at once.
+    `skew_weight` and `cost_weight` weigh a second lost to the slowest rank
+    against a second spent on copying weights. `max_moves` limits how many
+    experts are moved at once.
     """
 
     interval_seconds: Seconds = 10.0
@@ -110,33 +112,33 @@
 
 @dataclass(frozen=True)
 class Group:
-    """Upstreams whose ranks advance in lock-step on one expert map."""
+    """Upstreams that run as the ranks of one expert map, in lock-step."""
 
     name: Name
     service: Name
     ranks: tuple[Name, ...]
-    layers: Annotated[int, Meta(ge=1, le=_MOST_LAYERS)]
+    layers: Annotated[int, Meta(ge=1, le=_MAX_LAYERS)]
     experts: Annotated[int, Meta(ge=1, le=1024)]
-    slots_per_rank: Annotated[int, Meta(ge=1, le=_MOST_SLOTS)]
+    slots_per_rank: Annotated[int, Meta(ge=1, le=_MAX_SLOTS)]
     expert_bytes: PositiveInt
     placement: Placement = field(default_factory=Placement)
 
 
 @dataclass(frozen=True)
 class Routing:
-    """Weights of the routing decision, all in expected milliseconds."""
+    """Settings of routing and retries; costs are expected milliseconds."""
 
-    sample_size: Annotated[int, Meta(ge=1, le=_MOST_SAMPLED)] = 2
+    sample_size: Annotated[int, Meta(ge=1, le=_MAX_SAMPLE_SIZE)] = 2
     cache_weight: Weight = 1.0
     remote_site_ms: Annotated[float, Meta(ge=0, le=1000)] = 2.0
-    remote_region_ms: Annotated[float, Meta(ge=0, le=_LONGEST_HOP_MS)] = 60.0
+    remote_region_ms: Annotated[float, Meta(ge=0, le=_MAX_REGION_MS)] = 60.0
     retry_budget: Ratio = 0.1
     max_attempts: Annotated[int, Meta(ge=1, le=10)] = 3
 
 
 @dataclass(frozen=True)
 class Base:
-    """The base file: everything that the sites have in common."""
+    """The base file: the configuration that all sites share."""
 
     deployment: Name
     sites: tuple[Site, ...]
@@ -149,7 +151,7 @@
 
 @dataclass(frozen=True)
 class CustomerOverride:
-    """A customer's limits at one site; what is absent keeps the base's."""
+    """A customer's limits at one site; None keeps the value of the base."""
 
     name: Name
     requests_per_minute: PositiveInt | None = None
@@ -159,7 +161,7 @@
 
 @dataclass(frozen=True)
 class PlacementOverride:
-    """A group's placement settings at the site that holds the group."""
+    """Placement settings of a group, set by the site that hosts the group."""
 
     group: Name
     placement: Placement
@@ -167,7 +169,7 @@
 
 @dataclass(frozen=True)
 class Overlay:
-    """The overlay of one site: what differs there from the base."""
+    """The overlay of one site: its differences from the base."""
 
     site: Name
     routing: Routing | None = None
@@ -178,7 +180,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A base with the overlays of all its sites, as one revision."""
+    """A base with the overlays of all sites, as one revision."""
 
     base: Base
     overlays: tuple[Overlay, ...] = ()
--- a/linnetwind/config_loader.py
+++ b/linnetwind/config_loader.py
@@ -1,4 +1,4 @@
-"""Reading a base and its overlays, and checking them as a whole."""
+"""Reads a base with its overlays, and validates them together."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -35,7 +35,7 @@
       target: The data class.
 
     Returns:
-      The data class, or None when there are errors; and the errors.
+      An instance of the data class, or None if there are errors; the errors.
     """
     try:
         plain = yaml.load(path.read_text('utf-8'), yaml.CSafeLoader)
@@ -50,19 +50,19 @@
 def load_deployment(
     folder: Path,
 ) -> tuple[Deployment | None, list[ConfigError]]:
-    """Read the base and every overlay in a folder, and check the whole.
+    """Read the base and all overlays in a folder, and validate them together.
 
     Args:
-      folder: Holds `base.yaml` and, in `overlays/`, one file per site.
+      folder: Contains `base.yaml` and, in `overlays/`, one file per site.
 
     Returns:
-      The deployment, or None when there are errors; and the errors.
+      The deployment, or None if there are errors; the errors.
     """
     base, errors = load_yaml(folder / BASE_FILE, Base)
     overlays = []
     for path in sorted((folder / OVERLAY_FOLDER).glob('*.yaml')):
-        overlay, found = load_yaml(path, Overlay)
-        errors.extend(found)
+        overlay, overlay_errors = load_yaml(path, Overlay)
+        errors.extend(overlay_errors)
         if overlay is not None:
             overlays.append(overlay)
     if base is None or errors:
@@ -75,13 +75,13 @@
 def deployment_from_plain(
     plain: Any,
 ) -> tuple[Deployment | None, list[ConfigError]]:
-    """Rebuild a deployment from its published form, and check it.
+    """Build a deployment from its published form, and validate it.
 
     Args:
       plain: Maps, lists and scalars, as `config_fold` unpacks them.
 
     Returns:
-      The deployment, or None when there are errors; and the errors.
+      The deployment, or None if there are errors; the errors.
     """
     deployment, errors = structure(plain, Deployment, 'published')
     if deployment is None:
@@ -91,13 +91,13 @@
 
 
 def check_deployment(deployment: Deployment) -> list[ConfigError]:
-    """Check the references of a base together with all its overlays.
+    """Validate the names and references of a base with all its overlays.
 
     Args:
       deployment: The base and the overlays.
 
     Returns:
-      Every error found, in the order of the files.
+      All errors, those of the base first.
     """
     errors = list(_base_errors(deployment.base))
     for overlay in deployment.overlays:
@@ -175,15 +175,15 @@
         if upstream.site == overlay.site
     ]
     overridden = [customer.name for customer in overlay.customers]
-    placed = [placement.group for placement in overlay.placements]
+    groups_placed = [placement.group for placement in overlay.placements]
     yield from _dangling(file, 'site', [overlay.site], sites, 'site')
     yield from _dangling(file, 'customers', overridden, customers, 'customer')
-    yield from _dangling(file, 'placements', placed, groups, 'group')
+    yield from _dangling(file, 'placements', groups_placed, groups, 'group')
     yield from _dangling(
         file, 'drained', overlay.drained, upstreams, 'upstream of this site'
     )
     yield from _duplicates(file, 'customers', overridden)
-    yield from _duplicates(file, 'placements', placed)
+    yield from _duplicates(file, 'placements', groups_placed)
 
 
 def _duplicates(
--- a/linnetwind/config_loader_test.py
+++ b/linnetwind/config_loader_test.py
@@ -1,4 +1,4 @@
-"""Tests of operators' files: each error names file, key, value and range."""
+"""Tests of reading operators' files and of the errors reported in them."""
 
 from pathlib import Path
 
@@ -28,21 +28,21 @@
 
 
 @pytest.mark.parametrize('name', ['queretaro', 'qurum'])
-def test_examples_are_valid_and_of_the_briefs_size(name):
+def test_examples_are_valid_and_have_the_specified_size(name):
     deployment, errors = load_deployment(EXAMPLES / name)
     assert errors == []
     base = deployment.base
-    assert [len(each.upstreams) for each in base.services] == [16, 3]
+    assert [len(service.upstreams) for service in base.services] == [16, 3]
     assert (len(base.sites), len(base.customers)) == (3, 10)
 
 
-def test_overlay_changes_its_own_site_only():
+def test_overlay_changes_only_its_own_site():
     deployment, _errors = load_deployment(EXAMPLES / 'queretaro')
     limits = {
         site: next(
-            each.requests_per_minute
-            for each in at_site(deployment, site).customers
-            if each.name == 'kiosks-norte'
+            customer.requests_per_minute
+            for customer in at_site(deployment, site).customers
+            if customer.name == 'kiosks-norte'
         )
         for site in ('qro-norte', 'qro-sur')
     }
@@ -51,11 +51,11 @@
 
 def change(key, value):
     def apply(base):
-        place = base
-        *path, last = key
-        for step in path:
-            place = place[step]
-        place[last] = value
+        container = base
+        *parents, last = key
+        for step in parents:
+            container = container[step]
+        container[last] = value
 
     return apply
 
@@ -99,8 +99,8 @@
     apply(base)
     errors = errors_of(tmp_path, base)
     assert errors
-    for words in expected:
-        assert any(words in error for error in errors), (words, errors)
+    for text in expected:
+        assert any(text in error for error in errors), (text, errors)
 
 
 def test_overlay_of_an_unknown_site_or_customer_is_an_error(tmp_path, base):
@@ -110,7 +110,7 @@
     assert any("'nobody' names no customer" in error for error in errors)
 
 
-def test_file_that_is_no_yaml_or_missing(tmp_path):
+def test_missing_or_malformed_file_is_an_error(tmp_path):
     (tmp_path / 'base.yaml').write_text('a: [')
     _deployment, errors = load_deployment(tmp_path)
     assert 'not YAML' in errors[0].describe()
@@ -118,7 +118,7 @@
     assert 'cannot be read' in errors[0].describe()
 
 
-def test_daemon_settings_are_checked_too(tmp_path):
+def test_daemon_settings_are_validated(tmp_path):
     path = tmp_path / 'entry.yaml'
     path.write_text('name: e\nlisten: {ip: localhost, port: 99999}\n')
     settings, errors = load_entry_settings(path)
--- a/linnetwind/config_merge.py
+++ b/linnetwind/config_merge.py
@@ -1,4 +1,4 @@
-"""Applying a site's overlay to the base."""
+"""Merges the overlays into the base."""
 
 from dataclasses import replace
 
@@ -12,29 +12,32 @@
 
 
 def at_site(deployment: Deployment, site: str) -> Base:
-    """Return the base as it is in force at one site.
+    """Return the configuration in force at one site.
 
-    Drained upstreams are drained everywhere, whichever overlay names them:
-    a caller of another site must not be sent to them either. Placement
-    overrides, too, hold everywhere, since only one group can be meant.
+    Customer limits and routing settings of an overlay apply at its own site
+    only. Drained upstreams and placement settings of every overlay apply at
+    all sites: requests from other sites must not be routed to a drained
+    upstream either, and a placement names exactly one group.
 
     Args:
       deployment: The base and all overlays.
       site: The site's name.
 
     Returns:
-      The base with the overlay's values in place of its own.
+      The base, with the values of the overlays replacing its own.
     """
     base = deployment.base
     for overlay in deployment.overlays:
-        base = _everywhere(base, overlay)
+        base = _apply_global(base, overlay)
         if overlay.site == site:
-            base = _at_its_site(base, overlay)
+            base = _apply_local(base, overlay)
     return base
 
 
-def _everywhere(base: Base, overlay: Overlay) -> Base:
-    settings = {place.group: place.placement for place in overlay.placements}
+def _apply_global(base: Base, overlay: Overlay) -> Base:
+    settings = {
+        override.group: override.placement for override in overlay.placements
+    }
     groups = tuple(
         replace(group, placement=settings.get(group.name, group.placement))
         for group in base.groups
@@ -43,7 +46,7 @@
     return replace(base, groups=groups, drained=drained)
 
 
-def _at_its_site(base: Base, overlay: Overlay) -> Base:
+def _apply_local(base: Base, overlay: Overlay) -> Base:
     overrides = {override.name: override for override in overlay.customers}
     customers = tuple(
         _override(customer, overrides.get(customer.name))
@@ -63,5 +66,7 @@
         'tokens_per_minute': override.tokens_per_minute,
         'priority': override.priority,
     }
-    given = {key: limit for key, limit in changes.items() if limit is not None}
-    return replace(customer, **given)
+    present = {
+        key: limit for key, limit in changes.items() if limit is not None
+    }
+    return replace(customer, **present)
--- a/linnetwind/errors.py
+++ b/linnetwind/errors.py
@@ -1,11 +1,11 @@
-"""Typed errors about operators' files and the platform's services."""
+"""Typed errors of operators' files and of the platform's services."""
 
 from dataclasses import dataclass
 from typing import Protocol
 
 
 class Described(Protocol):
-    """An error that can be shown to a person."""
+    """An error that can be shown to an operator."""
 
     def describe(self) -> str:
         """Return one line of plain English."""
@@ -39,21 +39,21 @@
 
 @dataclass(frozen=True)
 class UnknownKey:
-    """A key that no setting has."""
+    """A key that is not defined for its place in the file."""
 
     file: str
     key: str
     accepted: tuple[str, ...]
 
     def describe(self) -> str:
-        """Return the file, the key and the keys that are accepted there."""
+        """Return the file, the key and the accepted keys."""
         names = ', '.join(self.accepted)
         return f'{self.file}: {self.key}: unknown key, accepted: {names}'
 
 
 @dataclass(frozen=True)
 class DanglingReference:
-    """A name that nothing defines."""
+    """A reference to a name that is not defined."""
 
     file: str
     key: str
@@ -61,7 +61,7 @@
     kind: str
 
     def describe(self) -> str:
-        """Return the file, the key, the name and what it should name."""
+        """Return file, key, name and the expected kind of object."""
         return f'{self.file}: {self.key}: {self.name!r} names no {self.kind}'
 
 
@@ -85,9 +85,9 @@
 
 @dataclass(frozen=True)
 class LogUnavailable:
-    """The log service did not answer, or answered with an error.
+    """The log service did not respond, or responded with an error.
 
-    After an append this leaves open whether the record was stored.
+    If this is the result of an append, the record may or may not be stored.
     """
 
     problem: str
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class HostListUnavailable:
-    """The host list did not answer."""
+    """The host list service did not respond, or responded with an error."""
 
     problem: str
 
--- a/linnetwind/settings.py
+++ b/linnetwind/settings.py
@@ -1,4 +1,4 @@
-"""A daemon's own settings: addresses, site, key file, log service."""
+"""The settings files of the daemons: addresses, site, key file, services."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,12 +11,12 @@
 from linnetwind.config_loader import load_yaml
 from linnetwind.errors import ConfigError
 
-_LONGEST_NOTICE_SECONDS = 600
+_MAX_DRAIN_SECONDS = 600
 
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """Where the platform's services are, and how often they are asked."""
+    """The addresses of the platform's services, and how often to poll them."""
 
     log_service: Address
     host_list: Address
@@ -29,8 +29,10 @@
 class EntrySettings:
     """The settings of an entry daemon.
 
-    After SIGTERM it serves on for `drain_notice_seconds`, in which the
-    balancer takes it out; what runs then may take `drain_limit_seconds`.
+    After SIGTERM the daemon continues to accept requests for
+    `drain_notice_seconds`, so that the load balancer in front can remove it
+    from rotation. Requests that are then still running have
+    `drain_limit_seconds` to finish.
     """
 
     name: Name
@@ -40,19 +42,19 @@
     platform: PlatformSettings
     threads: PositiveInt = 64
     drain_notice_seconds: Annotated[
-        float, Meta(ge=0, le=_LONGEST_NOTICE_SECONDS)
+        float, Meta(ge=0, le=_MAX_DRAIN_SECONDS)
     ] = 5.0
-    drain_limit_seconds: Annotated[
-        float, Meta(ge=0, le=_LONGEST_NOTICE_SECONDS)
-    ] = 60.0
+    drain_limit_seconds: Annotated[float, Meta(ge=0, le=_MAX_DRAIN_SECONDS)] = (
+        60.0
+    )
 
 
 @dataclass(frozen=True)
 class ServedUpstream:
     """An upstream on the side daemon's host.
 
-    `rank_engine` is where the engine takes orders about its rank, for an
-    upstream that belongs to a group.
+    `rank_engine` is the address at which the engine accepts orders for its
+    rank; it is set only if the upstream belongs to a group.
     """
 
     name: Name
@@ -72,7 +74,7 @@
     platform: PlatformSettings
     upstreams: tuple[ServedUpstream, ...]
     drain_notice_seconds: Annotated[
-        float, Meta(ge=0, le=_LONGEST_NOTICE_SECONDS)
+        float, Meta(ge=0, le=_MAX_DRAIN_SECONDS)
     ] = 5.0
 
 
@@ -85,7 +87,7 @@
       path: The YAML file.
 
     Returns:
-      The settings, or None when there are errors; and the errors.
+      The settings, or None if there are errors; the errors.
     """
     return load_yaml(path, EntrySettings)
 
@@ -99,6 +101,6 @@
       path: The YAML file.
 
     Returns:
-      The settings, or None when there are errors; and the errors.
+      The settings, or None if there are errors; the errors.
     """
     return load_yaml(path, SideSettings)
