--- a/linnetwind/hosts_http.py
+++ b/linnetwind/hosts_http.py
@@ -1,4 +1,4 @@
-"""The host list over HTTP, as JSON."""
+"""An HTTP client of the host list, with JSON bodies."""
 
 import json
 from collections.abc import Sequence
@@ -42,14 +42,14 @@
 
 
 def host_list_interval(poll: timedelta, hosts: int) -> timedelta:
-    """Return how long to wait before the list is read again.
+    """Return the interval between reads of the host list.
 
-    The whole list comes each time, so at a fixed interval its bytes would
-    grow with the fleet beyond a daemon's budget. A host that is leaving is
-    known from its side daemon long before.
+    Each read transfers the whole list, so with a fixed interval the bytes
+    would grow with the fleet beyond a daemon's budget. A long interval is safe:
+    the side daemon of a leaving host reports this long before.
 
     Args:
-      poll: The interval of a small fleet.
+      poll: The interval for a small fleet.
       hosts: The number of hosts on the list.
 
     Returns:
--- a/linnetwind/hosts_port.py
+++ b/linnetwind/hosts_port.py
@@ -1,4 +1,4 @@
-"""The platform's host list as this project sees it."""
+"""The interface to the platform's host list."""
 
 import enum
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host."""
+    """The state of a host as reported by the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One upstream host and the address of its side daemon."""
+    """An upstream host and the address of its side daemon."""
 
     name: str
     site: str
@@ -29,7 +29,7 @@
 
 
 class HostsPort(Protocol):
-    """A lagging list of hosts."""
+    """A client of the host list, which lags behind the hosts' real state."""
 
     def read(self) -> Result[Sequence[Host], HostListUnavailable]:
-        """Return the hosts, or why the list cannot be had."""
+        """Return the hosts, or the reason why the list cannot be read."""
--- a/linnetwind/limits.py
+++ b/linnetwind/limits.py
@@ -1,11 +1,12 @@
-"""Customers' limits in requests and tokens, as one entry daemon applies them.
-
-What a request will generate is not known when it comes in. An estimate is
-taken from the customer's tokens at once and corrected when the answer has
-ended; counting only afterwards would admit whatever arrives meanwhile. The
-idea of deducting before and settling after is that of the related paper
-(Alibaba Cloud Model Studio, "Best practices for handling rate limiting",
-`track_inflight`); docs/MEASUREMENTS.md has it with and without.
+"""Rate limits on the requests and tokens of customers at one entry daemon.
+
+The number of tokens that a request will generate is unknown on arrival. So an
+estimate is deducted from the customer's token bucket on admission and
+corrected when the response has ended. Deducting only then would admit all
+requests that arrive in the meantime. Deducting before and settling after
+follows the related paper (Alibaba Cloud Model Studio, "Best practices for
+handling rate limiting", `track_inflight`); docs/MEASUREMENTS.md compares the
+limits with and without it.
 """
 
 from collections.abc import Mapping
@@ -18,120 +19,129 @@
 _MINUTE_SECONDS = 60
 _BURST_SECONDS = 5
 _SMOOTHING = 0.2
-_LEAST_FRACTION = 0.001
-_LONGEST_RETRY = timedelta(minutes=1)
+_MIN_FRACTION = 0.001
+_MAX_RETRY_AFTER = timedelta(minutes=1)
 
 
 @dataclass
 class _Account:
-    """Levels may fall below zero: a debt from answers longer than guessed."""
+    """The token buckets of one customer, and its demand.
+
+    A bucket falls below zero if responses are longer than estimated. Further
+    requests are then rejected until the debt is refilled.
+    """
 
     requests: float
     tokens: float
-    at: timedelta
+    refilled_at: timedelta
     fraction: float
-    typical: float | None = None
-    asked_requests: float = 0
-    asked_tokens: float = 0
+    mean_tokens: float | None = None
+    demanded_requests: float = 0
+    demanded_tokens: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may run; `deducted` is to be given back to `settle`."""
+    """The request is admitted; pass this with `deducted` to `settle`."""
 
     deducted: float
 
 
 @dataclass(frozen=True, slots=True)
 class OverLimit:
-    """The customer's limit is used up until then."""
+    """The customer's limit is exhausted; a retry may follow after this time."""
 
     retry_after: timedelta
 
 
 class Limiter:
-    """The accounts of all customers at one entry daemon."""
+    """The rate limiter of an entry daemon, with an account per customer."""
 
     def __init__(self, clock: Clock, fraction: float) -> None:
-        """Start with full accounts.
+        """Initialize without accounts; a new account starts with a full burst.
 
         Args:
-          clock: For refilling.
-          fraction: The part of each limit that this daemon may hand out
-            until it is told another one.
+          clock: Measures the time between refills.
+          fraction: The fraction of each limit that this daemon may use until
+            `take_fractions` replaces it.
         """
         self._clock = clock
         self._fraction = fraction
         self._accounts: dict[str, _Account] = {}
 
     def admit(
-        self, customer: Customer, most_tokens: int
+        self, customer: Customer, max_tokens: int
     ) -> Admitted | OverLimit:
-        """Take a request from a customer's account, or refuse it.
+        """Charge a request to the customer's account, or reject it.
 
         Args:
           customer: The customer and its limits.
-          most_tokens: The most that the request can cost.
+          max_tokens: The largest number of tokens that the request can use.
 
         Returns:
-          What was deducted, or when to come back.
+          The tokens deducted, or the time until a retry may succeed.
         """
-        account = self._refilled(customer)
-        guess = float(most_tokens)
-        if account.typical is not None:
-            guess = min(guess, account.typical)
-        account.asked_requests += 1
-        account.asked_tokens += guess
+        account = self._refill(customer)
+        estimate = float(max_tokens)
+        if account.mean_tokens is not None:
+            estimate = min(estimate, account.mean_tokens)
+        account.demanded_requests += 1
+        account.demanded_tokens += estimate
         if account.requests >= 1 and account.tokens > 0:
             account.requests -= 1
-            account.tokens -= guess
-            return Admitted(guess)
-        return OverLimit(self._wait(account, customer))
+            account.tokens -= estimate
+            return Admitted(estimate)
+        return OverLimit(self._retry_after(account, customer))
 
     def settle(self, customer: Customer, admitted: Admitted, used: int) -> None:
-        """Correct the account by what the request has really cost.
+        """Correct the account by the tokens that the request has used.
 
         Args:
           customer: The customer.
-          admitted: What `admit` gave.
+          admitted: The result of `admit`.
           used: The tokens used; 0 for a request that did not run.
         """
-        account = self._refilled(customer)
+        account = self._refill(customer)
         account.tokens += admitted.deducted - used
         if used:
-            typical = account.typical or float(used)
-            account.typical = typical + (used - typical) * _SMOOTHING
+            mean_tokens = account.mean_tokens or float(used)
+            account.mean_tokens = (
+                mean_tokens + (used - mean_tokens) * _SMOOTHING
+            )
 
     def take_fractions(self, fractions: Mapping[str, float]) -> None:
-        """Replace the part of some customers' limits held here.
+        """Set the fraction of some customers' limits that this daemon may use.
 
         Args:
-          fractions: The part of each customer's limits, 0 to 1.
+          fractions: The fraction of each customer's limits, 0 to 1.
         """
         for name, fraction in fractions.items():
             account = self._accounts.get(name)
             if account is not None:
-                account.fraction = max(fraction, _LEAST_FRACTION)
+                account.fraction = max(fraction, _MIN_FRACTION)
 
     def take_demand(self) -> dict[str, tuple[float, float]]:
-        """Return what was asked since the last time, and start anew.
+        """Return the demand since the previous call, and reset it.
 
         Returns:
-          Requests and tokens by customer, of those that asked for any.
+          The requests and estimated tokens of each customer with any demand.
         """
         demand = {}
         for name, account in self._accounts.items():
-            if account.asked_requests:
-                demand[name] = (account.asked_requests, account.asked_tokens)
-            account.asked_requests = 0
-            account.asked_tokens = 0
+            if account.demanded_requests:
+                demand[name] = (
+                    account.demanded_requests,
+                    account.demanded_tokens,
+                )
+            account.demanded_requests = 0
+            account.demanded_tokens = 0
         return demand
 
-    def _refilled(self, customer: Customer) -> _Account:
+    def _refill(self, customer: Customer) -> _Account:
         now = self._clock.elapsed()
         account = self._accounts.get(customer.name)
         if account is None:
-            requests, tokens = _rates(customer, self._fraction)
+            requests, tokens = _rates_per_second(customer, self._fraction)
             account = _Account(
                 requests * _BURST_SECONDS + 1,
                 tokens * _BURST_SECONDS + 1,
@@ -139,27 +149,29 @@
                 self._fraction,
             )
             self._accounts[customer.name] = account
-        requests, tokens = _rates(customer, account.fraction)
-        passed = (now - account.at).total_seconds()
-        account.at = now
+        requests, tokens = _rates_per_second(customer, account.fraction)
+        seconds = (now - account.refilled_at).total_seconds()
+        account.refilled_at = now
         account.requests = min(
-            account.requests + requests * passed,
+            account.requests + requests * seconds,
             requests * _BURST_SECONDS + 1,
         )
         account.tokens = min(
-            account.tokens + tokens * passed, tokens * _BURST_SECONDS + 1
+            account.tokens + tokens * seconds, tokens * _BURST_SECONDS + 1
         )
         return account
 
-    def _wait(self, account: _Account, customer: Customer) -> timedelta:
-        requests, tokens = _rates(customer, account.fraction)
+    def _retry_after(self, account: _Account, customer: Customer) -> timedelta:
+        requests, tokens = _rates_per_second(customer, account.fraction)
         seconds = max(
             (1 - account.requests) / requests, (1 - account.tokens) / tokens
         )
-        return min(timedelta(seconds=seconds), _LONGEST_RETRY)
+        return min(timedelta(seconds=seconds), _MAX_RETRY_AFTER)
 
 
-def _rates(customer: Customer, fraction: float) -> tuple[float, float]:
+def _rates_per_second(
+    customer: Customer, fraction: float
+) -> tuple[float, float]:
     return (
         customer.requests_per_minute / _MINUTE_SECONDS * fraction,
         customer.tokens_per_minute / _MINUTE_SECONDS * fraction,
--- a/linnetwind/limits_test.py
+++ b/linnetwind/limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of limits, shares, retries and the choice of an upstream."""
+"""Tests of rate limits, shares, retries and the choice of an upstream."""
 
 import random
 from datetime import UTC, datetime, timedelta
@@ -30,7 +30,7 @@
     return ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
 
 
-def test_limit_refuses_with_the_time_until_the_next_request(clock):
+def test_rejection_states_the_time_until_the_next_request(clock):
     limiter = Limiter(clock, 1)
     while isinstance(decision := limiter.admit(CUSTOMER, 1), Admitted):
         continue
@@ -39,7 +39,7 @@
     assert isinstance(limiter.admit(CUSTOMER, 1), Admitted)
 
 
-def test_long_answers_are_paid_for_afterwards(clock):
+def test_tokens_beyond_the_estimate_are_deducted_afterwards(clock):
     limiter = Limiter(clock, 1)
     admitted = limiter.admit(CUSTOMER, 10)
     limiter.settle(CUSTOMER, admitted, 5000)
@@ -54,29 +54,31 @@
         limiter.settle(CUSTOMER, admitted, 0)
 
 
-def test_shares_follow_demand_and_never_exceed_the_whole(clock):
-    home = ShareHome(clock)
+def test_shares_follow_demand_and_sum_up_to_one(clock):
+    allocator = ShareHome(clock)
     demand = {'a': 90.0, 'b': 10.0}
     for _round in range(2):
-        found = {
-            entry: home.take(Demand(entry, (CustomerDemand('c', 0, asked),)))
+        fractions = {
+            entry: allocator.take(
+                Demand(entry, (CustomerDemand('c', 0, asked),))
+            )
             .shares[0]
             .fraction
             for entry, asked in demand.items()
         }
-    assert found['a'] > 0.8
-    assert sum(found.values()) == pytest.approx(1)
+    assert fractions['a'] > 0.8
+    assert sum(fractions.values()) == pytest.approx(1)
 
 
-def test_entry_that_is_gone_frees_its_share(clock):
-    home = ShareHome(clock)
-    home.take(Demand('a', (CustomerDemand('c', 0, 90),)))
+def test_share_of_a_stopped_entry_daemon_is_freed(clock):
+    allocator = ShareHome(clock)
+    allocator.take(Demand('a', (CustomerDemand('c', 0, 90),)))
     clock.advance(FORGET_AFTER * 2)
-    shares = home.take(Demand('b', (CustomerDemand('c', 0, 10),)))
+    shares = allocator.take(Demand('b', (CustomerDemand('c', 0, 10),)))
     assert shares.shares[0].fraction == pytest.approx(1)
 
 
-def test_home_moves_only_for_customers_of_a_lost_side():
+def test_owner_changes_only_for_customers_of_a_lost_side():
     sides = [f'side-{number}' for number in range(10)]
     customers = [f'customer-{number}' for number in range(200)]
     before = {name: home_of(name, sides) for name in customers}
@@ -100,15 +102,15 @@
 
 
 @pytest.mark.parametrize('row', RETRIES)
-def test_what_follows_a_failure(row):
+def test_decision_after_a_failed_attempt(row):
     outcome, repeatable, attempts, left, decision = row
     attempt = Attempt(outcome, repeatable, attempts, left)
     assert after_failure(attempt, RetryBudget(0.1)) == decision
 
 
-def test_outage_does_not_multiply_the_load():
-    # Every request fails. Beyond the first few, retries are a tenth of the
-    # requests at most.
+def test_retries_do_not_multiply_the_load_in_an_outage():
+    # Every request fails. Apart from a small initial budget, at most a tenth
+    # of the requests may be retried.
     budget = RetryBudget(0.1)
     retries = 0
     for _request in range(1000):
@@ -130,14 +132,14 @@
     return choose(candidates, request, ALL, random.Random(1)).upstream
 
 
-def test_route_prefers_the_shorter_wait():
+def test_upstream_with_the_shorter_wait_is_preferred():
     assert (
         chosen(candidate('busy', running=8, waiting=8), candidate('free'))
         == 'free'
     )
 
 
-def test_own_calls_count_before_they_are_reported():
+def test_own_calls_count_before_the_upstream_reports_them():
     assert (
         chosen(
             candidate('stale', unreported=9, own=9),
@@ -147,40 +149,40 @@
     )
 
 
-def test_silent_upstream_is_avoided():
+def test_unresponsive_upstream_is_avoided():
     silent = candidate('silent', own=1, silence=WAIT)
     assert chosen(silent, candidate('busy', running=6)) == 'busy'
 
 
 def test_group_with_a_straggler_is_avoided():
-    # The slow rank holds back every step of its group.
+    # The slowest rank determines the duration of every step of its group.
     request = RouteRequest('s', 'r', 0, 0, 100)
     slow = candidate('slow', step_ms=20)
     busy = candidate('busy', running=6, step_ms=8)
     assert chosen(slow, busy, request=request) == 'busy'
 
 
-def test_cached_prefix_wins_until_the_wait_is_longer():
+def test_cached_prefix_is_preferred_unless_the_wait_is_too_long():
     warm = candidate('warm', cached_blocks=4)
     assert chosen(warm, candidate('cold')) == 'warm'
     hot = candidate('hot', cached_blocks=4, running=8, waiting=20)
     assert chosen(hot, candidate('cold')) == 'cold'
 
 
-def test_other_region_only_when_there_is_no_other():
+def test_other_region_is_used_only_as_a_last_resort():
     far = Candidate('far', 'x', 'other', 8)
     assert chosen(far, candidate('near', running=8)) == 'near'
     assert chosen(far) == 'far'
 
 
-def test_no_candidate_says_when_to_come_back():
+def test_choice_without_candidates_fails():
     assert isinstance(choose([], REQUEST, ALL, random.Random(1)), NoCandidate)
 
 
-def test_home_of_a_slot_does_not_depend_on_the_order():
+def test_owner_of_a_slot_does_not_depend_on_the_order():
     three = [candidate(name) for name in ('a', 'b', 'c')]
-    homes = {
+    owners = {
         choose_home(order, 'codes', 7).upstream
         for order in (three, three[::-1], three[1:] + three[:1])
     }
-    assert len(homes) == 1
+    assert len(owners) == 1
--- a/linnetwind/log_http.py
+++ b/linnetwind/log_http.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP, with CBOR bodies."""
+"""An HTTP client of the log service, with CBOR bodies."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -14,7 +14,7 @@
 
 _OK = 200
 
-# What is not of the right form counts as no answer, like a lost one.
+# A malformed response is treated like a missing one.
 _ERRORS = (
     OSError,
     HTTPException,
@@ -28,16 +28,16 @@
 class HttpLog:
     """A client of the log service; safe for use by several threads.
 
-    Each request has a connection of its own, so a broken one is never
-    met again by a later request.
+    Each request uses a connection of its own, so a broken connection affects
+    no later request.
     """
 
     def __init__(self, address: Address, timeout: timedelta) -> None:
-        """Prepare the client; nothing is sent yet.
+        """Initialize the client without connecting.
 
         Args:
           address: The log service's address.
-          timeout: The longest wait for connecting and for each read.
+          timeout: The timeout of the connect and of each read.
         """
         self._address = address
         self._timeout = timeout
@@ -45,16 +45,18 @@
     def append(
         self, stream: str, records: Sequence[bytes]
     ) -> Result[int, LogUnavailable]:
-        """Append records in one go; see `LogPort`."""
+        """Append records with one request; see `LogPort`."""
         body = cbor2.dumps(list(records))
-        return self._ask('POST', f'/streams/{stream}', body, _offset)
+        return self._request(
+            'POST', f'/streams/{stream}', body, _offset_from_plain
+        )
 
     def read(self, stream: str, start: int) -> Result[Page, LogUnavailable]:
         """Read records in offset order; see `LogPort`."""
         path = f'/streams/{stream}?from={start}'
-        return self._ask('GET', path, None, _page_from_plain)
+        return self._request('GET', path, None, _page_from_plain)
 
-    def _ask(
+    def _request(
         self,
         method: str,
         path: str,
@@ -69,7 +71,7 @@
         try:
             connection.request(method, path, body)
             response = connection.getresponse()
-            return _parse(response.status, response.read(), parse)
+            return _parse_response(response.status, response.read(), parse)
         except _ERRORS as error:
             return Err(LogUnavailable(repr(error)))
         finally:
@@ -81,7 +83,7 @@
 
     Args:
       address: The log service's address.
-      timeout: The longest wait for connecting and for each read.
+      timeout: The timeout of the connect and of each read.
 
     Returns:
       The client.
@@ -89,7 +91,7 @@
     return HttpLog(address, timeout)
 
 
-def _parse(
+def _parse_response(
     status: int, body: bytes, parse: Callable[[Any], Any]
 ) -> Result[Any, LogUnavailable]:
     if status != _OK:
@@ -97,7 +99,7 @@
     return Ok(parse(cbor2.loads(body)))
 
 
-def _offset(plain: Any) -> int:
+def _offset_from_plain(plain: Any) -> int:
     return int(plain['first_offset'])
 
 
--- a/linnetwind/log_http_test.py
+++ b/linnetwind/log_http_test.py
@@ -1,4 +1,4 @@
-"""The contract of the log service's client, against its stand-in."""
+"""Tests of the log client against a stand-in of the log service."""
 
 from datetime import timedelta
 
@@ -25,11 +25,11 @@
     return make_log(address, timedelta(seconds=0.5))
 
 
-def test_records_come_back_in_order_with_their_offsets(log):
+def test_records_are_read_in_order_with_their_offsets(log):
     assert log.append('s', [b'a', b'b']).unwrap() == 0
     assert log.append('s', [b'c']).unwrap() == 2
     page = log.read('s', 1).unwrap()
-    assert [(each.offset, each.record) for each in page.entries] == [
+    assert [(entry.offset, entry.record) for entry in page.entries] == [
         (1, b'b'),
         (2, b'c'),
     ]
@@ -47,7 +47,7 @@
     assert len(read_to_end(log, 's', 0).unwrap().entries) == 5
 
 
-def test_expired_records_are_gone_and_the_offsets_go_on(service, log):
+def test_offsets_continue_after_expired_records(service, log):
     log.append('s', [b'a', b'b'])
     service.faults['retention'] = 1e-9
     page = log.read('s', 0).unwrap()
@@ -56,7 +56,7 @@
     assert log.append('s', [b'c']).unwrap() == 2
 
 
-def test_lost_reply_is_an_error_though_the_record_is_stored(service, log):
+def test_lost_reply_is_an_error_even_if_the_record_is_stored(service, log):
     service.faults['lose_append_replies'] = 1
     assert log.append('s', [b'a']).is_err()
     assert len(log.read('s', 0).unwrap().entries) == 1
@@ -73,8 +73,8 @@
 
 
 @pytest.mark.parametrize('body', [b'', b'\xff', b'\x01', b'\xa0', b'\xf6'])
-def test_answer_of_another_form_is_a_typed_error(service, log, body):
-    # It must not end the thread that follows the configuration.
+def test_malformed_response_is_a_typed_error(service, log, body):
+    # An exception would end the thread that follows the configuration.
     service.handle = lambda _request: Reply(200, body)
     assert log.append('s', [b'a']).is_err()
     assert log.read('s', 0).is_err()
--- a/linnetwind/log_port.py
+++ b/linnetwind/log_port.py
@@ -1,4 +1,4 @@
-"""The platform's log service as this project sees it."""
+"""The interface to the platform's log service."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One record and its place in the stream."""
+    """A record and its offset in the stream."""
 
     offset: int
     record: bytes
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A run of records.
+    """Consecutive records of a stream.
 
-    `first` is the lowest offset that the log still keeps; `end` is the
-    offset that the next append will get.
+    `first` is the lowest offset that the log still keeps; `end` is the offset
+    that the next appended record will get.
     """
 
     first: int
@@ -36,15 +36,15 @@
     def append(
         self, stream: str, records: Sequence[bytes]
     ) -> Result[int, LogUnavailable]:
-        """Append records in one go.
+        """Append records with one request.
 
         Args:
           stream: The stream's name.
           records: At least one record.
 
         Returns:
-          The offset of the first record; or an error, after which nobody
-          knows whether the records were stored.
+          The offset of the first record; or an error, after which the records
+          may or may not be stored.
         """
 
     def read(self, stream: str, start: int) -> Result[Page, LogUnavailable]:
@@ -52,34 +52,34 @@
 
         Args:
           stream: The stream's name.
-          start: The lowest offset wanted.
+          start: The lowest offset to read.
 
         Returns:
-          The records from `start` or from the first one kept, as many as
-          the service puts on one page.
+          The records from `start`, or from the first one that the log still
+          keeps; at most one page of the service.
         """
 
 
 def read_to_end(
     log: LogPort, stream: str, start: int
 ) -> Result[Page, LogUnavailable]:
-    """Read pages until the end of the stream as of now.
+    """Read all pages up to the current end of the stream.
 
     Args:
       log: The log service.
       stream: The stream's name.
-      start: The lowest offset wanted.
+      start: The lowest offset to read.
 
     Returns:
-      All records as one page.
+      All records as one page, or the error of the first read that failed.
     """
     entries: list[Entry] = []
     position = start
     while True:
-        answer = log.read(stream, position)
-        if answer.is_err():
-            return answer
-        page = answer.unwrap()
+        reply = log.read(stream, position)
+        if reply.is_err():
+            return reply
+        page = reply.unwrap()
         entries.extend(page.entries)
         position = _next_position(page)
         if position >= page.end:
--- a/linnetwind/routes.py
+++ b/linnetwind/routes.py
@@ -1,4 +1,4 @@
-"""The published configuration as the gateway uses it: routes and customers."""
+"""The routing table of a gateway: routes, services and customers."""
 
 import enum
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """How requests of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
     RUN_ONCE = 'run once'
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service and its part of a route's requests."""
+    """A service and its share of a route's requests."""
 
     service: str
     weight: float
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host below one path prefix, and how they are served.
+    """Rules for the requests to one host below one path prefix.
 
-    `timeout` is the longest time that a caller is kept waiting, `target` the
-    latency within which an answer counts as on time, `gap` the longest pause
-    between two events of a stream that is still on time. `max_attempts` is
-    the number of upstreams that may be given one request. `priority` is 0 for
-    the most urgent.
+    `timeout` is the longest time that a caller waits, `target` the latency
+    within which a response counts as on time, `gap` the longest pause between
+    two events of a stream that still counts as on time. `max_attempts` is the
+    number of upstreams to which one request may be sent. `priority` is 0 for
+    the most urgent requests.
     """
 
     name: str
@@ -48,23 +48,23 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run at more than one upstream."""
+        """Return whether a request may be run by more than one upstream."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFigures:
-    """What a service's engines are said to cost, in milliseconds.
-
-    A pass takes `steps_per_pass` token steps. A step takes `step_ms`, and
-    `sequence_ms` plus `context_ms` for each 1,000 tokens of context for each
-    request that is writing. Prompts are read at `tokens_per_ms`, at most
-    `chunk` tokens a step. `expert_share` is the part of the work for tokens
-    that is done by experts; there are `layers` sets of `experts` experts, and
-    a rank holds `slots_per_rank` of each set. One order to prepare a map may
-    bring `new_experts` new experts a set to a rank; copying one, of
-    `expert_gb` gigabytes, takes `copy_ms`. A group opens `form_ms` after its
-    last rank is back.
+    """The configured capacity and costs of a service's engines.
+
+    A pass consists of `steps_per_pass` token steps. A step takes `step_ms`
+    and, for each request that is generating tokens, `sequence_ms` plus
+    `context_ms` per 1,000 tokens of its context. Prompts are processed at
+    `tokens_per_ms`, at most `chunk` tokens per step. `expert_share` is the
+    fraction of the work per token that experts do. There are `layers` sets of
+    `experts` experts, and a rank holds `slots_per_rank` of each set. One order
+    to prepare a map may load at most `new_experts` new experts per set onto a
+    rank; copying one expert of `expert_gb` gigabytes takes `copy_ms`. A group
+    opens `form_ms` after its last rank has returned.
     """
 
     slots: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedService:
-    """A service that routes lead to; `engine` is None for a plain service."""
+    """A service that routes refer to; `engine` is None for a plain service."""
 
     name: str
     health_path: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take or stay idle."""
+    """Limits on the size and duration of a caller's requests."""
 
     head_bytes: int
     body_bytes: int
@@ -109,9 +109,9 @@
 class RouteTable:
     """One version of the published configuration.
 
-    `routes_by_host` holds each host's routes with the longest prefix first;
-    `customers_by_key` the name of the customer that holds an API key;
-    `priorities` the priority of a customer that has one of its own.
+    `routes_by_host` holds each host's routes, the longest prefix first.
+    `customers_by_key` maps an API key to its customer's name. `priorities`
+    maps customers that have a priority of their own to it.
     """
 
     version: int
@@ -123,7 +123,7 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route with the longest prefix that begins the path.
+    """Return the route with the longest prefix that matches the path.
 
     Args:
       table: The configuration.
@@ -131,7 +131,7 @@
       path: The request's path, without its query.
 
     Returns:
-      The route, or None.
+      The route, or None if no route matches.
     """
     name = host.partition(':')[0].lower()
     for route in table.routes_by_host.get(name, ()):
@@ -141,21 +141,21 @@
 
 
 def choose_service(route: Route, point: float) -> str:
-    """Return the service for a request, by the weights of the route.
+    """Choose the service for a request by the weights of the route.
 
     Args:
       route: The route.
-      point: A number from 0 (included) to 1 (excluded), even over requests.
+      point: A number from the uniform distribution over [0, 1).
 
     Returns:
       The service's name.
     """
-    whole = sum(each.weight for each in route.services)
-    left = point * whole
-    for each in route.services:
-        left -= each.weight
-        if left < 0:
-            return each.service
+    total = sum(weighted.weight for weighted in route.services)
+    remaining = point * total
+    for weighted in route.services:
+        remaining -= weighted.weight
+        if remaining < 0:
+            return weighted.service
     return route.services[-1].service
 
 
@@ -172,8 +172,8 @@
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
     return {
-        host: tuple(sorted(found, key=_prefix_length, reverse=True))
-        for host, found in by_host.items()
+        host: tuple(sorted(host_routes, key=_prefix_length, reverse=True))
+        for host, host_routes in by_host.items()
     }
 
 
--- a/linnetwind/routes_test.py
+++ b/linnetwind/routes_test.py
@@ -1,4 +1,4 @@
-"""Tests of routes: which request goes where."""
+"""Tests of route lookup, service choice and access control."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -28,8 +28,8 @@
         make_route('short', path_prefix='/x/'),
         make_route('long', path_prefix='/x/y/'),
     )
-    found = find_route(table, host, path)
-    assert (found.name if found else None) == expected
+    match = find_route(table, host, path)
+    assert (match.name if match else None) == expected
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
         (_facts(), True, None),
     ],
 )
-def test_a_key_names_its_customer(facts, anonymous, expected):
+def test_api_key_identifies_its_customer(facts, anonymous, expected):
     route = make_route('r', anonymous=anonymous)
     table = make_table(route, keys={'good': 'customer'})
     assert allow(table, facts) == Allowed(route, expected)
@@ -68,7 +68,7 @@
         (_facts(path='/none/', key='good'), 404),
     ],
 )
-def test_what_the_configuration_does_not_allow_is_denied(facts, status):
+def test_request_without_valid_key_or_route_is_denied(facts, status):
     table = make_table(make_route('r'), keys={'good': 'customer'})
     decision = allow(table, facts)
     assert isinstance(decision, Denied)
