--- a/linnetwind/cli.py
+++ b/linnetwind/cli.py
@@ -1,4 +1,4 @@
-"""The console command."""
+"""The `linnetwind` command and its subcommands."""
 
 import typer
 
--- a/linnetwind/cmd_config.py
+++ b/linnetwind/cmd_config.py
@@ -1,4 +1,4 @@
-"""The commands that check and publish a configuration."""
+"""The commands that validate and publish a configuration."""
 
 import getpass
 import time
@@ -28,11 +28,11 @@
 EXIT_CONFLICT = 3
 EXIT_UNAVAILABLE = 4
 
-_PAUSE_SECONDS = 0.2
+_RETRY_SECONDS = 0.2
 
 Folder = Annotated[
     Path,
-    typer.Argument(help='Holds base.yaml and overlays/SITE.yaml.'),
+    typer.Argument(help='The folder with base.yaml and overlays/SITE.yaml.'),
 ]
 LogService = Annotated[
     str, typer.Option('--log', help='The log service, as IP:PORT.')
@@ -40,24 +40,26 @@
 BasedOn = Annotated[
     int | None,
     typer.Option(
-        help='The revision that your files were made from. If a part that '
-        'you change has a later one, the publish is refused (exit 3). '
-        'Left out: the revision in force right now.'
+        help='The revision that your files are based on. If a part that you '
+        'change has a later revision, the publish is refused (exit 3). '
+        'Default: the revision currently in force.'
     ),
 ]
 Wait = Annotated[
     float,
-    typer.Option(help='How long to try, in seconds, while the log is out.'),
+    typer.Option(
+        help='How many seconds to retry while the log is unavailable.'
+    ),
 ]
 
 
 def check(folder: Folder) -> None:
-    """Check a base together with all its overlays.
+    """Validate a base together with all its overlays.
 
-    Exit codes: 0 it is valid, 2 it has errors (all are listed).
+    Exit codes: 0 valid, 2 errors, which are all listed.
     """
     deployment, errors = load_deployment(folder)
-    _exit_on(errors)
+    _exit_if_any(errors)
     if deployment is not None:
         count = len(deployment.overlays)
         typer.echo(f'{folder}: valid, {count} overlays')
@@ -72,12 +74,12 @@
     """Publish the parts of a configuration that differ from those in force.
 
     Either all changed parts take effect or none. Exit codes: 0 accepted or
-    nothing to change, 2 invalid, 3 another publish came first, 4 the log
-    service is out and it is not known whether the publish is in it; running
+    nothing to change, 2 invalid, 3 conflict with an earlier publish, 4 the log
+    service is unavailable and the publish may or may not be stored; running
     the same command again is safe.
     """
     deployment, errors = load_deployment(folder)
-    _exit_on(errors)
+    _exit_if_any(errors)
     log = make_log(parse_address(log_service), timedelta(seconds=2))
     state = read_state(log)
     if state.is_err() or deployment is None:
@@ -94,21 +96,23 @@
         revision = state.unwrap().revision
         typer.echo(f'revision {revision}: nothing to change')
         return
-    pauses = repeat(_PAUSE_SECONDS, ceil(wait / _PAUSE_SECONDS))
-    _tell(publish_once(log, state.unwrap(), change, pauses, time.sleep))
+    delays = repeat(_RETRY_SECONDS, ceil(wait / _RETRY_SECONDS))
+    _report_verdict(
+        publish_once(log, state.unwrap(), change, delays, time.sleep)
+    )
 
 
 def parse_address(text: str) -> Address:
-    """Read an address from the command line.
+    """Parse an address given on the command line.
 
     Args:
-      text: IP:PORT.
+      text: The address as IP:PORT.
 
     Returns:
       The address.
 
     Raises:
-      BadParameter: If it is not one.
+      BadParameter: The text is not of this form.
     """
     ip, _separator, port = text.rpartition(':')
     if not ip or not port.isdecimal():
@@ -116,7 +120,9 @@
     return Address(ip, int(port))
 
 
-def _tell(verdict: Accepted | Conflict | Invalid | Unresolved) -> None:
+def _report_verdict(
+    verdict: Accepted | Conflict | Invalid | Unresolved,
+) -> None:
     match verdict:
         case Accepted(revision=revision):
             typer.echo(f'accepted as revision {revision}')
@@ -131,7 +137,7 @@
             raise typer.Exit(EXIT_UNAVAILABLE)
 
 
-def _exit_on(errors: Sequence[Described]) -> None:
+def _exit_if_any(errors: Sequence[Described]) -> None:
     for error in errors:
         typer.echo(error.describe(), err=True)
     if errors:
--- a/linnetwind/cmd_daemons.py
+++ b/linnetwind/cmd_daemons.py
@@ -1,4 +1,4 @@
-"""The commands that run a daemon until it is told to stop."""
+"""The commands that run a daemon until a signal stops it."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -16,7 +16,7 @@
 SettingsFile = Annotated[
     Path, typer.Argument(help='The YAML file with the daemon settings.')
 ]
-LogLevel = Annotated[str, typer.Option(help='The lowest level logged.')]
+LogLevel = Annotated[str, typer.Option(help='The lowest level that is logged.')]
 
 
 class _Daemon(Protocol):
@@ -24,14 +24,15 @@
         """Start serving."""
 
     def shut_down(self) -> None:
-        """Finish what is in flight and end."""
+        """Finish the requests in flight and stop."""
 
 
 def entry(settings_file: SettingsFile, log_level: LogLevel = 'INFO') -> None:
-    """Run an entry daemon: it takes callers' requests and routes them.
+    """Run an entry daemon, which accepts callers' requests and routes them.
 
-    SIGTERM or SIGINT drains it: it reports not ready, waits for the
-    balancer, finishes what is in flight and exits with 0.
+    SIGTERM or SIGINT drains it: it reports that it is not ready, waits until
+    the load balancer has removed it, finishes the requests in flight and exits
+    with 0.
     """
     from linnetwind.entry_daemon import EntryDaemon
 
@@ -46,8 +47,8 @@
 def side(settings_file: SettingsFile, log_level: LogLevel = 'INFO') -> None:
     """Run a side daemon beside the upstreams of its host.
 
-    SIGTERM or SIGINT drains it: it refuses new calls, finishes the running
-    ones and exits with 0.
+    SIGTERM or SIGINT drains it: it refuses new calls, finishes the calls in
+    flight and exits with 0.
     """
     from linnetwind.side_daemon import SideDaemon
 
@@ -62,12 +63,12 @@
 def _run(daemon: _Daemon) -> None:
     signals = StopSignals()
     daemon.start()
-    signals.wait(_keep_settings)
+    signals.wait(_ignore_reload)
     daemon.shut_down()
 
 
-def _keep_settings() -> None:
-    """Go on at SIGHUP: settings are read once, at the start."""
+def _ignore_reload() -> None:
+    """Ignore SIGHUP: the settings are read only once, at the start."""
 
 
 def _exit_with(errors: Sequence[Described]) -> None:
--- a/linnetwind/cmd_status.py
+++ b/linnetwind/cmd_status.py
@@ -1,4 +1,4 @@
-"""The commands that show what is in force and explain what was done."""
+"""The commands that show the state of the daemons and explain a request."""
 
 import json
 from collections.abc import Iterator
@@ -18,8 +18,8 @@
     BadLine,
     LogLine,
     explain_request,
+    format_line,
     read_lines,
-    sentence,
 )
 from linnetwind.group_log import GroupRole, fold_role, stream_of_group
 from linnetwind.log_http import make_log
@@ -43,7 +43,7 @@
     str | None,
     typer.Option(
         '--log',
-        help='The log service, as IP:PORT; left out where there is none.',
+        help='The log service, as IP:PORT; omit it if there is none.',
     ),
 ]
 Metrics = Annotated[
@@ -53,26 +53,26 @@
     ),
 ]
 RequestId = Annotated[
-    str, typer.Argument(help='The X-Request-Id of an answer.')
+    str, typer.Argument(help='The X-Request-Id of a response.')
 ]
 LogFiles = Annotated[
-    list[Path], typer.Argument(help='Log files of any daemons.')
+    list[Path], typer.Argument(help='Log files of one or more daemons.')
 ]
 Around = Annotated[
     float, typer.Option(help='Seconds of context before and after.')
 ]
 AsJson = Annotated[
-    bool, typer.Option('--json', help='Write the log lines as they are.')
+    bool, typer.Option('--json', help='Print the log lines as JSON.')
 ]
 
 
 def status(log_service: OptionalLog = None, metrics: Metrics = None) -> None:
     """Show the revision in force, the upstreams and the groups.
 
-    With --metrics, also which configuration each of these daemons has in
-    force, what runs at its upstreams, which dependencies are away, and how
-    many records and answers in another format it has met. Exit codes: 0
-    shown, 4 the log service or a daemon did not answer.
+    With --metrics, also show for each of these daemons the configuration in
+    force, the requests running at its upstreams, the unavailable dependencies,
+    and the number of malformed records and responses received. Exit codes: 0
+    shown, 4 the log service or a daemon did not respond.
     """
     if log_service is not None:
         _show_state(log_service)
@@ -91,17 +91,17 @@
     around: Around = 0,
     as_json: AsJson = False,
 ) -> None:
-    """Tell where a request went and why, from the daemons' log lines.
+    """Show how a request was routed and why, from the daemons' log lines.
 
-    With --around, also what the daemons believed and learnt so many seconds
-    before, during and after it. Exit codes: 0 found, 1 no line names the
-    request, 2 a file cannot be read.
+    With --around, also show the changes of the daemons' state from this many
+    seconds before the request to as many after it. Exit codes: 0 found, 1 no
+    line names the request, 2 a file cannot be read.
     """
     lines = [line for path in log_files for line in _lines_of(path)]
-    found = explain_request(lines, request_id, timedelta(seconds=around))
-    for line in found:
-        typer.echo(json.dumps(line.fields) if as_json else sentence(line))
-    if not found:
+    shown = explain_request(lines, request_id, timedelta(seconds=around))
+    for line in shown:
+        typer.echo(json.dumps(line.fields) if as_json else format_line(line))
+    if not shown:
         typer.echo(f'{request_id}: no line in these files', err=True)
         raise typer.Exit(EXIT_NOT_FOUND)
 
@@ -130,11 +130,11 @@
         drained.update(overlay.drained)
     for service in base.services:
         names = [upstream.name for upstream in service.upstreams]
-        out = sorted(drained.intersection(names))
+        drained_names = sorted(drained.intersection(names))
         count = len(names)
         yield f'service {service.name}: {count} upstreams'
-        if out:
-            listed = ', '.join(out)
+        if drained_names:
+            listed = ', '.join(drained_names)
             yield f'  drained: {listed}'
     for group in base.groups:
         yield _group_line(group.name, len(group.ranks), log)
@@ -146,10 +146,10 @@
         problem = page.unwrap_err().describe()
         return f'group {group}: {problem}'
     role = fold_role(GroupRole(), page.unwrap().entries)
-    wanted = role.target.map_id if role.target else 'none yet'
+    target_map = role.target.map_id if role.target else 'none yet'
     holder = role.holder or 'nobody'
     return (
-        f'group {group}: {ranks} ranks, map wanted: {wanted}, '
+        f'group {group}: {ranks} ranks, target map: {target_map}, '
         f'coordinator: {holder}'
     )
 
@@ -186,4 +186,4 @@
     if bad:
         first = bad[0].describe()
         count = len(bad)
-        typer.echo(f'{path}: {count} lines passed over; {first}', err=True)
+        typer.echo(f'{path}: {count} lines skipped; {first}', err=True)
--- a/linnetwind/explanation.py
+++ b/linnetwind/explanation.py
@@ -1,8 +1,9 @@
-"""A request's life from log lines: what was done, and what was believed.
+"""Reconstructs from log lines how a request was handled, with its context.
 
-A line belongs to the request if it names it. Lines that name no request tell
-what a daemon took for true: its configuration, upstreams, rank groups and
-dependencies. Those shortly before and during the request are its context.
+A line belongs to the request if it contains the request's id. A line without
+a request id reports a change of a daemon's state: its configuration,
+upstreams, rank groups or dependencies. Such lines from shortly before, during
+and shortly after the request are its context.
 """
 
 import json
@@ -14,13 +15,13 @@
 _REQUEST = 'request'
 _TIME = 'time'
 _EVENT = 'event'
-# What is told before the facts of a line, or says nothing to a person.
-_NOT_FACTS = frozenset((_TIME, 'level', _EVENT, _REQUEST))
+# Fields that are printed before the others or are of no use to a reader.
+_NOT_SHOWN = frozenset((_TIME, 'level', _EVENT, _REQUEST))
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One structured line of a daemon's log."""
+    """A structured line of a daemon's log."""
 
     at: datetime
     event: str
@@ -30,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BadLine:
-    """A line that is no structured line."""
+    """A line that is not a structured log line."""
 
     number: int
     problem: str
 
     def describe(self) -> str:
-        """Return the problem."""
+        """Return the line number and the problem."""
         return f'line {self.number}: {self.problem}'
 
 
@@ -44,10 +45,10 @@
     """Decode the lines of a log file.
 
     Args:
-      texts: The lines; blank ones are passed over.
+      texts: The lines; blank ones are skipped.
 
     Yields:
-      Each line, or what is wrong with it.
+      Each decoded line, or the reason why it cannot be decoded.
     """
     for number, text in enumerate(texts, start=1):
         if text.strip():
@@ -57,51 +58,51 @@
 def explain_request(
     lines: Iterable[LogLine], request: str, around: timedelta
 ) -> list[LogLine]:
-    """Return the lines of a request in order of time, with their context.
+    """Return the lines of a request and of its context, ordered by time.
 
     Args:
       lines: The lines of all daemons.
       request: The request's id.
-      around: How long before the first and after the last of its lines
-        context is of interest; zero for none.
+      around: How long before the start and after the last line of the request
+        the context extends; zero for no context.
 
     Returns:
-      The lines; empty if none names the request.
+      The lines; empty if none contains the request's id.
     """
-    known = sorted(lines, key=lambda line: line.at)
-    own = [line for line in known if line.request == request]
+    ordered = sorted(lines, key=lambda line: line.at)
+    own = [line for line in ordered if line.request == request]
     if not own or not around:
         return own
-    first = min(_began(line) for line in own) - around
+    first = min(_started_at(line) for line in own) - around
     last = own[-1].at + around
     return [
         line
-        for line in known
+        for line in ordered
         if line.request == request
         or (not line.request and first <= line.at <= last)
     ]
 
 
-def sentence(line: LogLine) -> str:
-    """Return a line for a person to read.
+def format_line(line: LogLine) -> str:
+    """Format a line for a reader.
 
     Args:
       line: The line.
 
     Returns:
-      Time, event and facts; context is indented.
+      The time, the event and its fields; lines of the context are indented.
     """
-    facts = ', '.join(
-        f'{name} {found}'
-        for name, found in line.fields.items()
-        if name not in _NOT_FACTS and found not in ('', None)  # noqa: WPS510
+    details = ', '.join(
+        f'{name} {datum}'
+        for name, datum in line.fields.items()
+        if name not in _NOT_SHOWN and datum not in ('', None)  # noqa: WPS510
     )
     indent = '' if line.request else '    '
-    return f'{line.fields[_TIME]}  {indent}{line.event}: {facts}'
+    return f'{line.fields[_TIME]}  {indent}{line.event}: {details}'
 
 
-def _began(line: LogLine) -> datetime:
-    """Return when what a line tells of began; it is written at its end."""
+def _started_at(line: LogLine) -> datetime:
+    """Return when the logged action began; a line is written at its end."""
     took = line.fields.get('took')
     seconds = took if isinstance(took, int | float) else 0
     return line.at - timedelta(seconds=seconds)
--- a/linnetwind/explanation_test.py
+++ b/linnetwind/explanation_test.py
@@ -1,4 +1,4 @@
-"""Tests of a request's life from log lines, with lines of real runs."""
+"""Tests of `explain`, with log lines of a soak run."""
 
 from datetime import timedelta
 
@@ -9,12 +9,12 @@
     BadLine,
     LogLine,
     explain_request,
+    format_line,
     read_lines,
-    sentence,
 )
 
 SECOND = timedelta(seconds=1)
-# From a soak run: an upstream talked nonsense, the call went to another one.
+# An upstream sent an invalid response, and the call was retried elsewhere.
 GATEWAY = """\
 {"time": "2026-12-02T22:07:58.100+00:00", "daemon": "edge-127.0.0.2", \
 "event": "UpstreamsChanged", "source": "store", "offset": 9, \
@@ -39,21 +39,21 @@
 
 def _lines():
     texts = [*GATEWAY.splitlines(), *STORE.splitlines()]
-    return [each for each in read_lines(texts) if isinstance(each, LogLine)]
+    return [line for line in read_lines(texts) if isinstance(line, LogLine)]
 
 
 def _events(around):
-    found = explain_request(_lines(), 'c8-158', around)
-    return [line.event for line in found]
+    explained = explain_request(_lines(), 'c8-158', around)
+    return [line.event for line in explained]
 
 
-def test_a_request_is_told_in_order_of_time():
+def test_lines_of_a_request_are_ordered_by_time():
     assert _events(0 * SECOND) == ['AttemptFailed', 'RequestEnded']
 
 
-def test_the_context_is_what_daemons_believed_then():
-    # Of all daemons, before and during the request; other requests are not
-    # its context.
+def test_context_contains_state_changes_of_all_daemons():
+    # It covers the time before and during the request, and excludes the lines
+    # of other requests.
     assert _events(1 * SECOND) == [
         'DependencyLost',
         'AttemptFailed',
@@ -62,23 +62,23 @@
     assert _events(10 * SECOND)[0] == 'UpstreamsChanged'
 
 
-def test_a_line_reads_as_a_sentence():
+def test_line_is_formatted_with_time_event_and_fields():
     last = explain_request(_lines(), 'c8-158', 0 * SECOND)[-1]
-    assert sentence(last) == (
+    assert format_line(last) == (
         '2026-12-02T22:08:03.654+00:00  RequestEnded: daemon edge-127.0.0.2, '
         "outcome answered, status 200, upstreams ['i-6', 'i-5'], took 0.3339"
     )
 
 
-def test_lines_that_are_no_log_lines_are_told_with_their_number():
+def test_undecodable_lines_are_reported_with_their_numbers():
     texts = ['', 'Traceback', '{"event": "x"}', '[1]']
-    found = list(read_lines(texts))
-    assert all(isinstance(each, BadLine) for each in found)
-    assert found[0].describe() == 'line 2: not JSON'
-    assert [each.number for each in found] == [2, 3, 4]
+    decoded = list(read_lines(texts))
+    assert all(isinstance(line, BadLine) for line in decoded)
+    assert decoded[0].describe() == 'line 2: not JSON'
+    assert [line.number for line in decoded] == [2, 3, 4]
 
 
-def test_the_command_explains_and_says_what_it_passed_over(tmp_path):
+def test_command_prints_the_request_and_reports_skipped_lines(tmp_path):
     gateway, store = tmp_path / 'a.log', tmp_path / 'b.log'
     gateway.write_text(GATEWAY)
     store.write_text(STORE)
@@ -88,7 +88,7 @@
     )
     assert run.exit_code == 0
     assert run.output.count('"event"') == 3
-    assert '1 lines passed over; line 2: not JSON' in run.output
+    assert '1 lines skipped; line 2: not JSON' in run.output
     unknown = CliRunner().invoke(app, ['explain', 'nobody', *files])
     assert unknown.exit_code == 1
     missing = str(tmp_path / 'missing.log')
--- a/linnetwind/platform_clients.py
+++ b/linnetwind/platform_clients.py
@@ -1,4 +1,4 @@
-"""The platform's services, as both daemons use them."""
+"""Clients of the platform's services for the entry and side daemons."""
 
 import random
 from datetime import timedelta
@@ -11,15 +11,15 @@
 
 PLATFORM_TIMEOUT = timedelta(seconds=2)
 
-# Callers wait for a claim, so it is given up sooner.
+# Shorter, since a caller waits while a claim is written to the log.
 CLAIM_TIMEOUT = timedelta(seconds=1)
 
 
 def make_platform_log(settings: PlatformSettings) -> HttpLog:
-    """Build a client of the log service for work in the background.
+    """Build a client of the log service for background work.
 
     Args:
-      settings: Where the platform is.
+      settings: The addresses of the platform.
 
     Returns:
       The client.
@@ -28,10 +28,10 @@
 
 
 def make_claim_log(settings: PlatformSettings) -> HttpLog:
-    """Build a client of the log service for calls that wait.
+    """Build a client of the log service for claims, which callers wait for.
 
     Args:
-      settings: Where the platform is.
+      settings: The addresses of the platform.
 
     Returns:
       The client.
@@ -43,7 +43,7 @@
     """Build a client of the host list.
 
     Args:
-      settings: Where the platform is.
+      settings: The addresses of the platform.
 
     Returns:
       The client.
@@ -54,12 +54,12 @@
 def make_follower(
     settings: PlatformSettings, clock: Clock, incarnation: str
 ) -> Follower:
-    """Build the follower of the configuration.
+    """Build the follower of the configuration stream.
 
     Args:
-      settings: Where the platform is, and how old a snapshot may get.
-      clock: For the age of snapshots.
-      incarnation: Seeds the spread, so that it differs between daemons.
+      settings: The addresses of the platform and the snapshot interval.
+      clock: Measures the age of snapshots.
+      incarnation: Seeds the random spread, so that daemons differ in it.
 
     Returns:
       The follower, without a configuration.
