--- a/linnetwind/platform/rank_format.py
+++ b/linnetwind/platform/rank_format.py
@@ -1,4 +1,4 @@
-"""What a worker of the platform says of its rank, and its orders."""
+"""Decodes a worker's reports on its rank and encodes orders to the worker."""
 
 from typing import Any, Literal
 
@@ -7,13 +7,13 @@
 
 from linnetwind.bad_format import BadFormat
 from linnetwind.platform.decoding import (
-    Born,
-    Count,
-    PositiveFigure,
-    Text,
-    Whole,
+    NonEmptyText,
+    NonNegativeInteger,
+    OptionalStartMs,
+    PositiveFloat,
+    PositiveInteger,
     decode_json,
-    stated,
+    unset_to_none,
 )
 from linnetwind.rank_types import (
     ArmMap,
@@ -30,92 +30,92 @@
 _EPOCH = 'epoch'
 
 
-class Group(Struct):
-    """Where a worker stands among the ranks of its group."""
+class GroupMembership(Struct):
+    """A worker's membership in a rank group, and the state of that group."""
 
-    name: Text
-    epoch: Whole
-    rank: Whole
+    name: NonEmptyText
+    epoch: NonNegativeInteger
+    rank: NonNegativeInteger
     state: Literal['open', 'broken']
 
 
-class _Armed(Struct):
-    version: Whole
-    step: Whole
+class _ArmedMap(Struct):
+    version: NonNegativeInteger
+    step: NonNegativeInteger
 
 
 class _Report(Struct, rename='camel'):
-    group: Group
-    size: Count
-    step: Whole
-    sequence: Whole
+    group: GroupMembership
+    size: PositiveInteger
+    step: NonNegativeInteger
+    sequence: NonNegativeInteger
     busy: bool
-    mapping: Whole
-    active_requests: Whole
-    queue_depth: Whole
-    preloaded: Whole | None = None
-    armed: _Armed | None = None
-    held: Whole | None = None
-    pace: PositiveFigure = 1
-    born: Born = UNSET
+    mapping: NonNegativeInteger
+    active_requests: NonNegativeInteger
+    queue_depth: NonNegativeInteger
+    preloaded: NonNegativeInteger | None = None
+    armed: _ArmedMap | None = None
+    held: NonNegativeInteger | None = None
+    pace: PositiveFloat = 1
+    born: OptionalStartMs = UNSET
 
 
-class _Picked(Struct):
-    epoch: Whole
-    step: Whole
-    counts: tuple[Whole, ...]
-    born: Born = UNSET
+class _ExpertCounts(Struct):
+    epoch: NonNegativeInteger
+    step: NonNegativeInteger
+    counts: tuple[NonNegativeInteger, ...]
+    born: OptionalStartMs = UNSET
 
 
 class _Mapping(Struct):
-    version: Whole
-    experts: tuple[tuple[Whole, ...], ...]
+    version: NonNegativeInteger
+    experts: tuple[tuple[NonNegativeInteger, ...], ...]
 
 
-class _Lists(Struct):
-    epoch: Whole
+class _ExpertLists(Struct):
+    epoch: NonNegativeInteger
     mapping: _Mapping
-    born: Born = UNSET
+    born: OptionalStartMs = UNSET
 
 
 _REPORT_DECODER = Decoder(_Report)
-_PICKED_DECODER = Decoder(_Picked)
-_LISTS_DECODER = Decoder(_Lists)
+_COUNTS_DECODER = Decoder(_ExpertCounts)
+_EXPERTS_DECODER = Decoder(_ExpertLists)
 
 
 def decode_report(body: bytes) -> RankReport | BadFormat:
-    """Decode the state of a rank.
+    """Decode a report of the state of a rank.
 
     Args:
-      body: The worker's answer.
+      body: The body of the worker's response.
 
     Returns:
-      The state, or what is wrong with the answer.
+      The report, or a description of the first error.
     """
-    found = decode_json(body, _REPORT_DECODER)
-    if isinstance(found, BadFormat):
-        return found
-    if found.group.rank >= found.size:
-        return BadFormat('group.rank', f'is not below the size, {found.size}')
-    armed = found.armed
+    decoded = decode_json(body, _REPORT_DECODER)
+    if isinstance(decoded, BadFormat):
+        return decoded
+    if decoded.group.rank >= decoded.size:
+        return BadFormat('group.rank', f'is not below the size, {decoded.size}')
+    armed = decoded.armed
     return RankReport(
-        group=found.group.name,
-        rank=found.group.rank,
-        size=found.size,
-        epoch=found.group.epoch,
-        is_open=found.group.state == 'open',
-        step=found.step,
-        sequence=found.sequence,
-        is_copying=found.busy,
-        map_version=found.mapping,
-        prepared=found.preloaded,
+        group=decoded.group.name,
+        rank=decoded.group.rank,
+        size=decoded.size,
+        epoch=decoded.group.epoch,
+        is_open=decoded.group.state == 'open',
+        step=decoded.step,
+        sequence=decoded.sequence,
+        is_copying=decoded.busy,
+        map_version=decoded.mapping,
+        prepared=decoded.preloaded,
         armed=None if armed is None else armed.version,
         armed_step=None if armed is None else armed.step,
-        held=found.held,
-        pace=found.pace,
-        running=found.active_requests,
-        waiting=found.queue_depth,
-        born_ms=stated(found.born),
+        held=decoded.held,
+        pace=decoded.pace,
+        running=decoded.active_requests,
+        waiting=decoded.queue_depth,
+        born_ms=unset_to_none(decoded.born),
     )
 
 
@@ -123,43 +123,48 @@
     """Decode how often each expert was chosen.
 
     Args:
-      body: The worker's answer.
+      body: The body of the worker's response.
 
     Returns:
-      The counts, or what is wrong with the answer.
+      The counts, or a description of the first error.
     """
-    found = decode_json(body, _PICKED_DECODER)
-    if isinstance(found, BadFormat):
-        return found
-    return RankCounts(found.epoch, found.step, found.counts, stated(found.born))
+    decoded = decode_json(body, _COUNTS_DECODER)
+    if isinstance(decoded, BadFormat):
+        return decoded
+    return RankCounts(
+        decoded.epoch, decoded.step, decoded.counts, unset_to_none(decoded.born)
+    )
 
 
 def decode_experts(body: bytes) -> RankExperts | BadFormat:
-    """Decode which experts a rank holds.
+    """Decode the lists of the experts that a rank holds.
 
     Args:
-      body: The worker's answer.
+      body: The body of the worker's response.
 
     Returns:
-      The experts, or what is wrong with the answer.
+      The experts, or a description of the first error.
     """
-    found = decode_json(body, _LISTS_DECODER)
-    if isinstance(found, BadFormat):
-        return found
-    mapping = found.mapping
+    decoded = decode_json(body, _EXPERTS_DECODER)
+    if isinstance(decoded, BadFormat):
+        return decoded
+    mapping = decoded.mapping
     return RankExperts(
-        found.epoch, mapping.version, mapping.experts, stated(found.born)
+        decoded.epoch,
+        mapping.version,
+        mapping.experts,
+        unset_to_none(decoded.born),
     )
 
 
 def order_fields(order: RankOrder) -> dict[str, Any]:
-    """Return an order in the platform's fields.
+    """Convert an order to the fields of the platform's JSON format.
 
     Args:
-      order: The order.
+      order: The order to a rank's worker.
 
     Returns:
-      The fields, for JSON.
+      The fields by their names on the wire.
     """
     match order:
         case PrepareMap(version, epoch, expect, maps):
--- a/linnetwind/platform/table_format.py
+++ b/linnetwind/platform/table_format.py
@@ -1,4 +1,4 @@
-"""The platform's configurations, as our types."""
+"""Decodes the platform's configurations into route tables."""
 
 from datetime import timedelta
 from types import MappingProxyType
@@ -9,13 +9,13 @@
 
 from linnetwind.bad_format import BadFormat
 from linnetwind.platform.decoding import (
-    Count,
-    Figure,
-    Milliseconds,
-    PositiveFigure,
-    Text,
-    Timeout,
-    Whole,
+    DurationMs,
+    NonEmptyText,
+    NonNegativeFloat,
+    NonNegativeInteger,
+    PositiveFloat,
+    PositiveInteger,
+    TimeoutMs,
     decode_json,
 )
 from linnetwind.routes import (
@@ -29,7 +29,7 @@
     order_routes,
 )
 
-# The key of the newest configuration in the operator's topic.
+# The key of the configuration in the operator's topic.
 CONFIGURATION_KEY = 'config'
 
 _KINDS = MappingProxyType(
@@ -41,42 +41,42 @@
 )
 _BITS_PER_MEGABYTE = 8_000_000
 _BITS_PER_MEGABIT_MS = 1_000
-_PER_THOUSAND = 1_000
-_USUAL_GAP_MS = 1_000
+_THOUSAND = 1_000
+_DEFAULT_TARGET_GAP_MS = 1_000
 
 
-class _Share(Struct):
-    service: Text
-    weight: Figure
+class _WeightedShare(Struct):
+    service: NonEmptyText
+    weight: NonNegativeFloat
 
 
 class _Route(Struct, rename='camel'):
-    name: Text
-    host: Text
+    name: NonEmptyText
+    host: NonEmptyText
     path_prefix: Annotated[str, Meta(pattern='^/')]
     kind: Literal['idempotent', 'non_idempotent', 'streaming']
-    timeout_ms: Timeout
-    target_latency_ms: Milliseconds
-    target_gap_ms: Milliseconds | None = None
-    priority: Whole | None = None
-    service: Text | None = None
-    traffic_split: tuple[_Share, ...] | None = None
-    max_attempts: Whole | None = None
+    timeout_ms: TimeoutMs
+    target_latency_ms: DurationMs
+    target_gap_ms: DurationMs | None = None
+    priority: NonNegativeInteger | None = None
+    service: NonEmptyText | None = None
+    traffic_split: tuple[_WeightedShare, ...] | None = None
+    max_attempts: NonNegativeInteger | None = None
     anonymous: bool | None = None
     stream_resume: bool | None = None
 
 
 class _Limits(Struct, rename='camel'):
-    header_bytes: Count
-    max_body_bytes: Whole
-    header_timeout_ms: Timeout
-    idle_timeout_ms: Timeout
+    header_bytes: PositiveInteger
+    max_body_bytes: NonNegativeInteger
+    header_timeout_ms: TimeoutMs
+    idle_timeout_ms: TimeoutMs
 
 
 class _Tenant(Struct, rename='camel'):
-    name: Text
+    name: NonEmptyText
     api_keys: tuple[str, ...]
-    priority: Whole | None = None
+    priority: NonNegativeInteger | None = None
 
 
 class _Engine(
@@ -94,33 +94,33 @@
         'link_mbps': 'linkMbps',
     },
 ):
-    slots: Count
-    memory_tokens: Count
-    step_ms: Figure
-    sequence_ms: Figure
-    read_per_s: PositiveFigure
-    steps_per_pass: Whole | None = None
-    context_ms: Figure | None = None
-    chunk: Whole | None = None
-    expert_share: Figure | None = None
-    layers: Whole | None = None
-    experts: Whole | None = None
-    slots_per_rank: Whole | None = None
-    new_experts: Whole | None = None
-    expert_mb: Figure | None = None
-    link_mbps: Figure | None = None
-    form_ms: Figure | None = None
+    slots: PositiveInteger
+    memory_tokens: PositiveInteger
+    step_ms: NonNegativeFloat
+    sequence_ms: NonNegativeFloat
+    read_per_s: PositiveFloat
+    steps_per_pass: NonNegativeInteger | None = None
+    context_ms: NonNegativeFloat | None = None
+    chunk: NonNegativeInteger | None = None
+    expert_share: NonNegativeFloat | None = None
+    layers: NonNegativeInteger | None = None
+    experts: NonNegativeInteger | None = None
+    slots_per_rank: NonNegativeInteger | None = None
+    new_experts: NonNegativeInteger | None = None
+    expert_mb: NonNegativeFloat | None = None
+    link_mbps: NonNegativeFloat | None = None
+    form_ms: NonNegativeFloat | None = None
 
 
 class _Service(Struct, rename='camel'):
-    name: Text
+    name: NonEmptyText
     health_check: str | None = None
-    max_connections: Whole | None = None
+    max_connections: NonNegativeInteger | None = None
     engine: _Engine | None = None
 
 
 class _Table(Struct):
-    version: Whole
+    version: NonNegativeInteger
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
     limits: _Limits
@@ -134,19 +134,19 @@
     """Decode a configuration.
 
     Args:
-      content: The value of the operator's record, JSON.
+      content: The JSON value of the operator's record.
 
     Returns:
-      The configuration, or what is wrong with it.
+      The configuration, or a description of the first error.
     """
     table = decode_json(content, _DECODER)
     if isinstance(table, BadFormat):
         return table
-    return _find_unserved(table) or _table(table)
+    return _find_route_without_service(table) or _to_table(table)
 
 
-def _find_unserved(table: _Table) -> BadFormat | None:
-    """Return the first route that leads to no service."""
+def _find_route_without_service(table: _Table) -> BadFormat | None:
+    """Return an error for the first route that names no usable service."""
     for index, route in enumerate(table.routes):
         if route.traffic_split:
             if not sum(share.weight for share in route.traffic_split):
@@ -157,18 +157,18 @@
     return None
 
 
-def _table(table: _Table) -> RouteTable:
-    services = [_service(each) for each in table.services]
+def _to_table(table: _Table) -> RouteTable:
+    services = [_to_service(each) for each in table.services]
     customers = table.tenants or ()
     return RouteTable(
         version=table.version,
-        routes_by_host=order_routes([_route(each) for each in table.routes]),
+        routes_by_host=order_routes([_to_route(each) for each in table.routes]),
         services={each.name: each for each in services},
         limits=CallerLimits(
             head_bytes=table.limits.header_bytes,
             body_bytes=table.limits.max_body_bytes,
-            head_timeout=_milliseconds(table.limits.header_timeout_ms),
-            idle_timeout=_milliseconds(table.limits.idle_timeout_ms),
+            head_timeout=_to_timedelta(table.limits.header_timeout_ms),
+            idle_timeout=_to_timedelta(table.limits.idle_timeout_ms),
         ),
         customers_by_key={
             key: each.name for each in customers for key in each.api_keys
@@ -181,24 +181,24 @@
     )
 
 
-def _route(route: _Route) -> Route:
+def _to_route(route: _Route) -> Route:
     return Route(
         name=route.name,
         host=route.host,
         path_prefix=route.path_prefix,
         kind=_KINDS[route.kind],
-        timeout=_milliseconds(route.timeout_ms),
-        target=_milliseconds(route.target_latency_ms),
-        gap=_milliseconds(route.target_gap_ms or _USUAL_GAP_MS),
+        timeout=_to_timedelta(route.timeout_ms),
+        target=_to_timedelta(route.target_latency_ms),
+        gap=_to_timedelta(route.target_gap_ms or _DEFAULT_TARGET_GAP_MS),
         priority=route.priority or 0,
-        services=_split(route),
+        services=_to_weighted_services(route),
         max_attempts=route.max_attempts or 1,
         anonymous=bool(route.anonymous),
         resumable=bool(route.stream_resume),
     )
 
 
-def _split(route: _Route) -> tuple[WeightedService, ...]:
+def _to_weighted_services(route: _Route) -> tuple[WeightedService, ...]:
     if route.traffic_split:
         return tuple(
             WeightedService(each.service, each.weight)
@@ -207,20 +207,20 @@
     return (WeightedService(route.service, 1),)
 
 
-def _service(service: _Service) -> RoutedService:
+def _to_service(service: _Service) -> RoutedService:
     engine = service.engine
     return RoutedService(
         name=service.name,
         health_path=service.health_check or '',
         max_connections=service.max_connections or 0,
-        engine=None if engine is None else _engine(engine),
+        engine=None if engine is None else _to_engine(engine),
     )
 
 
-def _engine(engine: _Engine) -> EngineFigures:
+def _to_engine(engine: _Engine) -> EngineFigures:
     megabytes = engine.expert_mb or 0
-    copied_bits = megabytes * _BITS_PER_MEGABYTE
-    link = (engine.link_mbps or 1) * _BITS_PER_MEGABIT_MS
+    expert_bits = megabytes * _BITS_PER_MEGABYTE
+    bits_per_ms = (engine.link_mbps or 1) * _BITS_PER_MEGABIT_MS
     return EngineFigures(
         slots=engine.slots,
         memory_tokens=engine.memory_tokens,
@@ -228,18 +228,18 @@
         step_ms=engine.step_ms,
         sequence_ms=engine.sequence_ms,
         context_ms=engine.context_ms or 0,
-        tokens_per_ms=engine.read_per_s / _PER_THOUSAND,
+        tokens_per_ms=engine.read_per_s / _THOUSAND,
         chunk=engine.chunk or 1,
         expert_share=engine.expert_share or 0,
         layers=engine.layers or 0,
         experts=engine.experts or 0,
         slots_per_rank=engine.slots_per_rank or 0,
         new_experts=engine.new_experts or 0,
-        expert_gb=megabytes / _PER_THOUSAND,
-        copy_ms=copied_bits / link,
+        expert_gb=megabytes / _THOUSAND,
+        copy_ms=expert_bits / bits_per_ms,
         form_ms=engine.form_ms or 0,
     )
 
 
-def _milliseconds(found: float) -> timedelta:
-    return timedelta(milliseconds=found)
+def _to_timedelta(duration_ms: float) -> timedelta:
+    return timedelta(milliseconds=duration_ms)
--- a/linnetwind/platform/upstream_format.py
+++ b/linnetwind/platform/upstream_format.py
@@ -1,4 +1,4 @@
-"""The platform's entries of upstreams, as our types."""
+"""Decodes the platform's entries of upstreams."""
 
 import re
 from datetime import timedelta
@@ -10,43 +10,47 @@
 from linnetwind.address import parse_address
 from linnetwind.bad_format import BadFormat
 from linnetwind.platform.decoding import (
-    Born,
-    Count,
-    Milliseconds,
-    Text,
-    Whole,
+    DurationMs,
+    NonEmptyText,
+    NonNegativeInteger,
+    OptionalStartMs,
+    PositiveInteger,
     decode_json,
-    stated,
+    unset_to_none,
 )
-from linnetwind.platform.rank_format import Group
+from linnetwind.platform.rank_format import GroupMembership
 from linnetwind.record_store import KeyedRecord
 from linnetwind.upstream_list import Registered, Upstream
 
-_DRAINING = 'draining'
-# Far more requests than any worker runs at once. A larger number would draw
-# all requests to the one that states it.
-_MOST_SLOTS = 1_000_000
-# An instance goes out in a header with each request: a line break in it would
-# begin another header. A record's key has at most 255 bytes.
-_INSTANCE = re.compile('[!-~]{1,255}')
+_DRAINING_STATE = 'draining'
+# Far more concurrent requests than any worker runs. An upstream that states a
+# larger number would attract all requests.
+_MAX_SLOTS = 1_000_000
+# The instance name is sent in a header of each request, where a line break
+# would inject another header. A record's key has at most 255 bytes.
+_INSTANCE_NAME = re.compile('[!-~]{1,255}')
 
 
 class _Entry(Struct, rename='camel'):
-    """An entry. What is not used here tells that an entry is whole."""
+    """An upstream's entry.
 
-    service: Text
+    Fields that the gateway does not use are checked too, so that an incomplete
+    entry or another writer's entry is rejected.
+    """
+
+    service: NonEmptyText
     address: str
-    zone: Text
-    version: Text
-    slots: Annotated[int, Meta(ge=1, le=_MOST_SLOTS)]
+    zone: NonEmptyText
+    version: NonEmptyText
+    slots: Annotated[int, Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal['ready', 'draining']
-    cold_remaining_ms: Milliseconds
-    sequence: Whole
+    cold_remaining_ms: DurationMs
+    sequence: NonNegativeInteger
     stage: str | UnsetType = UNSET
     models: tuple[dict[str, Any], ...] | UnsetType = UNSET
-    group: Group | UnsetType = UNSET
-    size: Count | UnsetType = UNSET
-    born: Born = UNSET
+    group: GroupMembership | UnsetType = UNSET
+    size: PositiveInteger | UnsetType = UNSET
+    born: OptionalStartMs = UNSET
 
 
 _DECODER = Decoder(_Entry)
@@ -56,25 +60,26 @@
     """Decode an upstream's entry.
 
     Args:
-      record: A record of the upstreams' topic.
+      record: A record of the topic of upstreams.
 
     Returns:
-      The entry, or what is wrong with it.
+      The record of the upstream, without an upstream if the record deletes
+      its key, or a description of the first error.
     """
     if not record.content:
         return Registered(record.key, record.offset, None)
-    if _INSTANCE.fullmatch(record.key) is None:
+    if _INSTANCE_NAME.fullmatch(record.key) is None:
         return BadFormat('key', 'is not 1 to 255 printable ASCII characters')
     entry = decode_json(record.content, _DECODER)
     if isinstance(entry, BadFormat):
         return entry
-    upstream = _upstream(record.key, entry)
+    upstream = _to_upstream(record.key, entry)
     if isinstance(upstream, BadFormat):
         return upstream
     return Registered(record.key, record.offset, upstream)
 
 
-def _upstream(instance: str, entry: _Entry) -> Upstream | BadFormat:
+def _to_upstream(instance: str, entry: _Entry) -> Upstream | BadFormat:
     try:
         address = parse_address(entry.address)
     except ValueError as error:
@@ -85,7 +90,7 @@
         address=address,
         site=entry.zone,
         slots=entry.slots,
-        draining=entry.state == _DRAINING,
+        draining=entry.state == _DRAINING_STATE,
         cold=timedelta(milliseconds=entry.cold_remaining_ms),
-        born_ms=stated(entry.born),
+        born_ms=unset_to_none(entry.born),
     )
