--- a/linnetwind/platform/__init__.py
+++ b/linnetwind/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter to the users' platform: wire names, formats and calls only."""
--- a/linnetwind/platform/__main__.py
+++ b/linnetwind/platform/__main__.py
@@ -5,12 +5,13 @@
 
 
 def main(role: str, *ports: str) -> None:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until it is stopped.
 
     Args:
-      ports: For `entry`, the port of its metrics.
-      role: `entry` for callers' hosts, `rank` beside an upstream. Each role
-        imports only what it needs; memory is the rank agents' main cost.
+      role: `entry` on the hosts that callers connect to, `rank` beside an
+        upstream. Each role imports only the modules that it needs, because
+        memory is the main cost of a rank agent.
+      ports: For `entry`, the port on which it serves its metrics.
     """
     if role == 'entry':
         from linnetwind.platform.front_port import open_front
@@ -23,8 +24,8 @@
         from linnetwind.platform.rank import run_rank
 
         run_rank()
-    # Threads that serve idle connections would keep the process until it is
-    # killed; by now nothing is left that they could lose.
+    # Threads that serve idle connections would keep the process alive until it
+    # is killed. No request is in flight at this point, so none can be lost.
     sys.stdout.flush()
     os._exit(0)
 
--- a/linnetwind/platform/conftest.py
+++ b/linnetwind/platform/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway in the platform's dialect, for tests."""
+"""Provides tests with a gateway that uses the platform's dialect."""
 
 from datetime import timedelta
 
@@ -10,13 +10,13 @@
 from standins.gateway_harness import GatewayHarness
 
 MODEL = (WeightedService('model', 1),)
-# The timeout of a route whose upstream does not answer in time.
+# The timeout of the route whose upstream responds too late in tests.
 _SHORT_S = 0.2
 
 
 @pytest.fixture(name='gateway')
 def _gateway():
-    """Serve callers with routes of each kind."""
+    """Run a gateway that has one route of each kind."""
     table = make_table(
         make_route('idempotent'),
         make_route('once', RouteKind.RUN_ONCE, path_prefix='/once/'),
--- a/linnetwind/platform/entry.py
+++ b/linnetwind/platform/entry.py
@@ -1,4 +1,4 @@
-"""Wires the gateway to the platform."""
+"""Builds the gateway daemon with the platform's adapters."""
 
 import socket
 
@@ -17,11 +17,11 @@
 
 
 def run_entry(metrics_port: int, front: socket.socket) -> None:
-    """Run the gateway until it is told to stop.
+    """Run the gateway until it is stopped.
 
     Args:
-      metrics_port: The port of the metrics, as in the deploy file.
-      front: Listens where callers connect.
+      metrics_port: The port on which metrics are served, as in the deploy file.
+      front: The listening socket for callers' connections.
     """
     settings = read_settings()
     clock = SystemClock()
@@ -37,13 +37,13 @@
         open_rank=lambda upstream: RankClient(
             upstream.address, REMOTE_TIMEOUT, log
         ),
-        reload=lambda: _setup(read_settings(), metrics_port),
+        reload=lambda: _make_setup(read_settings(), metrics_port),
         front=front,
     )
-    GatewayDaemon(_setup(settings, metrics_port), ports, clock, log).run()
+    GatewayDaemon(_make_setup(settings, metrics_port), ports, clock, log).run()
 
 
-def _setup(settings: HostSettings, metrics_port: int) -> GatewaySetup:
+def _make_setup(settings: HostSettings, metrics_port: int) -> GatewaySetup:
     return GatewaySetup(
         name=settings.name,
         site=settings.site,
--- a/linnetwind/platform/headers.py
+++ b/linnetwind/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers of requests and answers, as the project's types."""
+"""Reads and writes the platform's headers of requests and responses."""
 
 import re
 from datetime import timedelta
@@ -14,26 +14,26 @@
 
 _CALL_ID = b'attempt-id'
 _TIME_LIMIT = b'deadline-ms'
-_TOKENS = b'token-count'
-_PROMPT_PARTS = b'prompt-prefix'
+_TOKEN_COUNT = b'token-count'
+_PROMPT_PREFIX = b'prompt-prefix'
 _LAST_EVENT = b'last-event-id'
-_KEY = b'authorization'
-_KEY_SCHEME = 'bearer '
+_AUTHORIZATION = b'authorization'
+_BEARER_PREFIX = 'bearer '
 _INSTANCE = b'expect-instance'
 _CUSTOMER = b'tenant'
-_SIGNATURE = b'response-seal'
-_NOT_RUN = b'not-executed'
-_ANSWERED_BY = b'instance-id'
-_MOST_REQUESTS = b'server-limit'
+_SEAL = b'response-seal'
+_NOT_EXECUTED = b'not-executed'
+_RESPONDING_INSTANCE = b'instance-id'
+_MAX_REQUESTS = b'server-limit'
 _BACKOFF = b'retry-after'
 _LEAVING = b'server-leaving'
-_LEAVES = '1'
+_LEAVING_VALUE = '1'
 _DECIMAL = re.compile(r'[0-9]{1,9}(\.[0-9]{1,9})?')
-_MISDIRECTED = 421
-_REFUSED = 503
+_MISDIRECTED_REQUEST = 421
+_SERVICE_UNAVAILABLE = 503
 
-# Headers that concern one connection only, or frame a body.
-_CONNECTION_ONLY = frozenset(
+# Hop-by-hop headers and headers that frame a body; none is forwarded.
+_HOP_BY_HOP = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -48,11 +48,11 @@
         b'expect',
     )
 )
-# What the gateway sets itself, or keeps to itself.
-_OWN = frozenset(
+# Headers of requests that the gateway sets itself or does not forward.
+_GATEWAY_ONLY = frozenset(
     (
         _TIME_LIMIT,
-        _KEY,
+        _AUTHORIZATION,
         _INSTANCE,
         _CUSTOMER,
         b'expect-version',
@@ -65,87 +65,93 @@
     """Reads and writes the platform's headers."""
 
     def read_call(self, request: CallerRequest) -> CallFacts:
-        """Return what a request's headers say.
+        """Read the facts about a request from its target and headers.
 
         Args:
           request: A caller's request.
 
         Returns:
-          The facts; what is missing or not a number is None or empty.
+          The facts. A value that is absent or malformed is None or empty.
         """
-        named = _by_name(request.headers)
-        limit = _number(named.get(_TIME_LIMIT))
+        by_name = _by_name(request.headers)
+        limit_ms = _parse_integer(by_name.get(_TIME_LIMIT))
         path = request.target.partition(b'?')[0]
         return CallFacts(
-            call_id=_text(named.get(_CALL_ID)),
-            host=_text(named.get(b'host')),
+            call_id=_decode_text(by_name.get(_CALL_ID)),
+            host=_decode_text(by_name.get(b'host')),
             path=path.decode('latin-1'),
-            time_limit=None if limit is None else timedelta(milliseconds=limit),
-            api_key=_key(_text(named.get(_KEY))),
-            tokens=_tokens(_text(named.get(_TOKENS))),
-            subject=_subject(_text(named.get(_PROMPT_PARTS))),
+            time_limit=None
+            if limit_ms is None
+            else timedelta(milliseconds=limit_ms),
+            api_key=_parse_api_key(_decode_text(by_name.get(_AUTHORIZATION))),
+            tokens=_parse_token_counts(_decode_text(by_name.get(_TOKEN_COUNT))),
+            subject=_parse_subject(_decode_text(by_name.get(_PROMPT_PREFIX))),
         )
 
     def write_forward(
         self, request: CallerRequest, forwarding: Forwarding
     ) -> Headers:
-        """Return the headers with which a request goes to an upstream.
+        """Return the headers of a request to an upstream.
 
         Args:
           request: A caller's request.
-          forwarding: What the gateway adds.
+          forwarding: The values of the headers that the gateway adds.
 
         Returns:
-          The caller's headers, but for those of its connection and those
-          that are the gateway's own to set.
+          The caller's headers without the hop-by-hop ones and without those
+          that only the gateway may set, and the headers that it adds.
         """
-        drop = _CONNECTION_ONLY | _OWN | _named_in_connection(request.headers)
+        drop = (
+            _HOP_BY_HOP | _GATEWAY_ONLY | _listed_in_connection(request.headers)
+        )
         if forwarding.resume_after is not None:
             drop |= {_LAST_EVENT}
-        kept = [each for each in request.headers if each[0].lower() not in drop]
-        left = max(1, int(forwarding.time_left / timedelta(milliseconds=1)))
-        kept.append((b'Deadline-Ms', str(left).encode()))
-        kept.append((b'Expect-Instance', forwarding.instance.encode()))
+        forwarded = [
+            each for each in request.headers if each[0].lower() not in drop
+        ]
+        left_ms = max(1, int(forwarding.time_left / timedelta(milliseconds=1)))
+        forwarded.append((b'Deadline-Ms', str(left_ms).encode()))
+        forwarded.append((b'Expect-Instance', forwarding.instance.encode()))
         if forwarding.customer is not None:
-            kept.append((b'Tenant', forwarding.customer.encode()))
+            forwarded.append((b'Tenant', forwarding.customer.encode()))
         if forwarding.resume_after is not None:
-            last = str(forwarding.resume_after).encode()
-            kept.append((b'Last-Event-Id', last))
-        return tuple(kept)
+            last_event = str(forwarding.resume_after).encode()
+            forwarded.append((b'Last-Event-Id', last_event))
+        return tuple(forwarded)
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what an answer's head says.
+        """Read the facts about a response from its status and headers.
 
         Args:
-          status: The status.
-          headers: The headers.
+          status: The HTTP status.
+          headers: The upstream's headers.
 
         Returns:
-          The facts.
+          The facts. A number that is absent or malformed is None.
         """
-        named = _by_name(headers)
-        call_id = named.get(_CALL_ID)
+        by_name = _by_name(headers)
+        call_id = by_name.get(_CALL_ID)
         return AnswerFacts(
-            signed=_SIGNATURE in named,
-            call_id=None if call_id is None else _text(call_id),
-            not_executed=_NOT_RUN in named,
-            misdirected=status == _MISDIRECTED,
-            instance=_text(named.get(_ANSWERED_BY)) or None,
-            most_per_s=_decimal(_text(named.get(_MOST_REQUESTS))),
-            backoff=_backoff(status, _text(named.get(_BACKOFF))),
-            leaving=_text(named.get(_LEAVING)) == _LEAVES,
+            signed=_SEAL in by_name,
+            call_id=None if call_id is None else _decode_text(call_id),
+            not_executed=_NOT_EXECUTED in by_name,
+            misdirected=status == _MISDIRECTED_REQUEST,
+            instance=_decode_text(by_name.get(_RESPONDING_INSTANCE)) or None,
+            most_per_s=_parse_decimal(_decode_text(by_name.get(_MAX_REQUESTS))),
+            backoff=_parse_backoff(status, _decode_text(by_name.get(_BACKOFF))),
+            leaving=_decode_text(by_name.get(_LEAVING)) == _LEAVING_VALUE,
         )
 
     def answer_headers(self, headers: Headers) -> Headers:
-        """Return the headers of an answer that go on to the caller.
+        """Return the headers of a response that are sent to the caller.
 
         Args:
           headers: The upstream's headers.
 
         Returns:
-          All but those of the upstream's connection.
+          The headers without the hop-by-hop ones.
         """
-        drop = _CONNECTION_ONLY | _named_in_connection(headers)
+        drop = _HOP_BY_HOP | _listed_in_connection(headers)
         return tuple(each for each in headers if each[0].lower() not in drop)
 
 
@@ -153,43 +159,43 @@
     return {name.lower(): content for name, content in headers}
 
 
-def _named_in_connection(headers: Headers) -> frozenset[bytes]:
-    """Return the headers that `Connection` names as its own."""
-    named = _by_name(headers).get(b'connection', b'')
-    return frozenset(each.strip().lower() for each in named.split(b','))
+def _listed_in_connection(headers: Headers) -> frozenset[bytes]:
+    """Return the hop-by-hop headers that `Connection` lists."""
+    listed = _by_name(headers).get(b'connection', b'')
+    return frozenset(each.strip().lower() for each in listed.split(b','))
 
 
-def _text(content: bytes | None) -> str:
+def _decode_text(content: bytes | None) -> str:
     return (content or b'').decode('latin-1').strip()
 
 
-def _number(content: bytes | None) -> int | None:
-    text = _text(content)
+def _parse_integer(content: bytes | None) -> int | None:
+    text = _decode_text(content)
     return int(text) if text.isdigit() else None
 
 
-def _decimal(text: str) -> float | None:
+def _parse_decimal(text: str) -> float | None:
     return float(text) if _DECIMAL.fullmatch(text) else None
 
 
-def _backoff(status: int, text: str) -> timedelta | None:
-    seconds = _decimal(text) if status == _REFUSED else None
+def _parse_backoff(status: int, text: str) -> timedelta | None:
+    seconds = _parse_decimal(text) if status == _SERVICE_UNAVAILABLE else None
     return None if seconds is None else timedelta(seconds=seconds)
 
 
-def _key(text: str) -> str | None:
-    if text.lower().startswith(_KEY_SCHEME):
-        return text[len(_KEY_SCHEME) :].strip()
+def _parse_api_key(text: str) -> str | None:
+    if text.lower().startswith(_BEARER_PREFIX):
+        return text[len(_BEARER_PREFIX) :].strip()
     return None
 
 
-def _tokens(text: str) -> TokenCounts | None:
+def _parse_token_counts(text: str) -> TokenCounts | None:
     prompt, _comma, answer = text.partition(',')
     if prompt.isdigit() and answer.isdigit():
         return TokenCounts(int(prompt), int(answer))
     return None
 
 
-def _subject(text: str) -> str:
-    """Return the id of a prompt's last part, which is the session's own."""
+def _parse_subject(text: str) -> str:
+    """Return the id of the last prompt part, which is the session's own."""
     return text.rpartition(',')[2].partition(':')[0]
--- a/linnetwind/platform/rank.py
+++ b/linnetwind/platform/rank.py
@@ -1,4 +1,4 @@
-"""Wires the rank agent to the platform."""
+"""Builds the rank agent with the platform's adapters."""
 
 from linnetwind.address import Address
 from linnetwind.clock import SystemClock
@@ -9,7 +9,7 @@
 
 
 def run_rank() -> None:
-    """Run the rank agent until it is told to stop."""
+    """Run the rank agent until it is stopped."""
     settings = read_settings()
     clock = SystemClock()
     log = stdout_log(settings.name, clock)
--- a/linnetwind/platform/settings.py
+++ b/linnetwind/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as the settings of our daemons."""
+"""Decodes the platform's settings file into the settings of a daemon."""
 
 import json
 import os
@@ -9,18 +9,19 @@
 from linnetwind.address import Address, parse_address
 from linnetwind.repeat_budget import BudgetTerms
 
-_FILE_VARIABLE = 'LINNETWIND_CONFIG'
+_SETTINGS_VARIABLE = 'LINNETWIND_CONFIG'
 
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What the platform tells a daemon of its host.
-
-    `front` is where callers connect, `readiness` where the platform asks
-    whether they may; both are None on a host without callers. `upstream` is
-    the address of the worker on this host. `first_port` is the first of the
-    ports for our own messages, which are the same on all hosts. `power` is
-    its link in Mbit/s times its part of a core.
+    """The settings of a daemon on one host.
+
+    `front` is the address that callers connect to, and `readiness` the address
+    of the platform's readiness check; both are None on a host that serves no
+    callers. `upstream` is the address of the worker on this host. `first_port`
+    is the first port for messages between daemons; these ports are the same on
+    all hosts. `repeats` limits retries. `power` is the host's link in Mbit/s
+    times the number of cores that the daemon may use, 0 if not stated.
     """
 
     name: str
@@ -40,24 +41,24 @@
 
 
 def read_settings() -> HostSettings:
-    """Read the file that the platform names.
+    """Read the settings file that an environment variable names.
 
     Returns:
       The settings.
 
     Raises:
-      KeyError: The variable or a field is missing.
+      KeyError: The environment variable or a field of the file is missing.
       OSError: The file cannot be read.
     """
-    with open(os.environ[_FILE_VARIABLE], encoding='utf-8') as source:
+    with open(os.environ[_SETTINGS_VARIABLE], encoding='utf-8') as source:
         return decode_settings(json.load(source))
 
 
 def decode_settings(fields: dict[str, Any]) -> HostSettings:
-    """Decode the settings.
+    """Decode the fields of a settings file.
 
     Args:
-      fields: The file's content.
+      fields: The file's content, decoded from JSON.
 
     Returns:
       The settings.
@@ -73,7 +74,8 @@
         front=_optional_address(listen.get('front')),
         readiness=_optional_address(listen.get('readiness')),
         first_port=first_port,
-        # Seeds name the control addresses; our ports are the same everywhere.
+        # A seed gives a host's control address. The daemon on that host uses
+        # the same first port as this one.
         seeds=tuple(Address(each.ip, first_port) for each in seeds),
         store=parse_address(fields['platform']['address']),
         upstream=_optional_address(fields.get('app')),
@@ -85,12 +87,12 @@
             float(bounds['retryRatio']),
             float(bounds['retryAllowance']),
         ),
-        power=_power(fields.get('limits') or {}),
+        power=_host_power(fields.get('limits') or {}),
     )
 
 
-def _power(limits: dict[str, Any]) -> int:
-    """Return what a host bears; 0 where its limits are not stated."""
+def _host_power(limits: dict[str, Any]) -> int:
+    """Return link (Mbit/s) times cores, or 0 if the limits are not stated."""
     cores = limits.get('cpuShare', 0) * limits.get('cpuCores', 1)
     return int(cores * limits.get('linkMbps', 0))
 
