--- a/linnetwind/platform/rank_client.py
+++ b/linnetwind/platform/rank_client.py
@@ -1,7 +1,7 @@
-"""Calls to a worker of the platform about its rank.
+"""Sends queries and orders about a rank to the platform's worker.
 
-With h11 instead of http.client, which brings the mail and TLS packages: 3 MB
-in each rank agent.
+Uses h11 instead of http.client, which imports the mail and TLS packages and
+would cost each rank agent 3 MB of memory.
 """
 
 import json
@@ -31,16 +31,17 @@
 )
 from linnetwind.step_log import StepLog
 
-# A worker answers in a few milliseconds. An order that it leaves unanswered
-# holds up the whole group while a pass is held, so that it is given up soon;
-# from another host a lost packet may take longer to come again.
+# A worker responds within a few milliseconds. While a pass is held, an order
+# without a response stalls the whole group, so the timeouts are short. The one
+# for another host leaves time to retransmit a lost packet.
 _REMOTE_TIMEOUT_MS = 150
 REMOTE_TIMEOUT = timedelta(milliseconds=_REMOTE_TIMEOUT_MS)
 _LOCAL_TIMEOUT_MS = 60
 LOCAL_TIMEOUT = timedelta(milliseconds=_LOCAL_TIMEOUT_MS)
 _OK = 200
 _ACCEPTED = 202
-# Not such an order, another state, an old fence, another worker.
+# In this order: the worker does not know such an order, its rank is in another
+# state, the order's fencing epoch is outdated, another worker is meant.
 _REFUSALS = (400, 409, 412, 421)
 _RESULTS = MappingProxyType(
     {
@@ -53,17 +54,17 @@
 
 
 class RankClient:
-    """One connection to a worker, for one thread at a time."""
+    """A connection to a worker, to be used by one thread at a time."""
 
     def __init__(
         self, address: Address, timeout: timedelta, log: StepLog
     ) -> None:
-        """Connect later, with the first call.
+        """Prepare the connection; the first call opens it.
 
         Args:
-          address: Where the worker listens.
-          timeout: How long an answer may take.
-          log: Told of answers in another format.
+          address: The address on which the worker listens.
+          timeout: The timeout of connecting and of each read.
+          log: Receives an event when a response is malformed.
         """
         self._address = address
         self._timeout = timeout
@@ -73,28 +74,28 @@
         self._http: h11.Connection | None = None
 
     def report(self) -> RankReport | None:
-        """Return the rank's state, or None if there is no good answer."""
+        """Return the state of the rank, or None without a valid response."""
         return self._get('report', '/-/report', decode_report)
 
     def counts(self) -> RankCounts | None:
-        """Return the experts' counts, or None if there is no good answer."""
+        """Return the experts' counts, or None without a valid response."""
         return self._get('counts', '/-/picked', decode_counts)
 
     def experts(self) -> RankExperts | None:
-        """Return the experts that the rank holds, or None."""
+        """Return the rank's experts, or None without a valid response."""
         return self._get('experts', '/-/picked?lists=1', decode_experts)
 
     def order(self, order: RankOrder) -> OrderResult:
-        """Give an order.
+        """Send an order to the worker.
 
-        An answer that the platform does not name promises nothing: the order
-        may have been carried out, or may be later, as after no answer.
+        A response with an unspecified status is treated as no response: in
+        both cases the worker may have carried out the order or may still do so.
 
         Args:
           order: The order.
 
         Returns:
-          What became of it.
+          The result of the order, as far as the response tells it.
         """
         fields = order_fields(order)
         body = json.dumps(fields, separators=(',', ':')).encode()
@@ -105,7 +106,7 @@
         problem = None
         if status not in _RESULTS:
             problem = BadFormat('status', f'{status} says nothing of orders')
-        self._note('order', problem)
+        self._log_problem('order', problem)
         return _RESULTS.get(status, OrderResult.NO_ANSWER)
 
     def _get(
@@ -117,20 +118,20 @@
         answer = self._call('GET', path, None)
         if answer is None or answer[0] != _OK:
             return None
-        found = decode(answer[1])
-        if isinstance(found, BadFormat):
-            self._note(call, found)
+        decoded = decode(answer[1])
+        if isinstance(decoded, BadFormat):
+            self._log_problem(call, decoded)
             return None
-        self._note(call, None)
-        return found
+        self._log_problem(call, None)
+        return decoded
 
-    def _note(self, call: str, problem: BadFormat | None) -> None:
-        """Log what is wrong with an answer once, until it changes."""
-        before = self._problems.pop(call, None)
+    def _log_problem(self, call: str, problem: BadFormat | None) -> None:
+        """Log a malformed response unless the last one had the same error."""
+        previous = self._problems.pop(call, None)
         if problem is None:
             return
         self._problems[call] = problem
-        if problem != before:
+        if problem != previous:
             self._log.event(
                 BadAnswer(
                     str(self._address), call, problem.field, problem.reason
@@ -143,8 +144,8 @@
         try:
             return self._exchange(method, path, body or b'')
         except (OSError, h11.ProtocolError):
-            # The answer is lost with the connection; callers are told so by
-            # None and log what it means to them.
+            # Without the connection there is no response. The caller gets None
+            # and logs the consequence for its own work.
             self._close()
             return None
 
--- a/linnetwind/platform/store_client.py
+++ b/linnetwind/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: newest records, reads and appends."""
+"""Client of the platform's store: reads topics and appends records."""
 
 from datetime import timedelta
 from http.client import HTTPConnection, HTTPException, HTTPResponse
@@ -29,23 +29,23 @@
         Topic.QUARANTINE: 'keyed.quarantine',
     }
 )
-_ERA = 'Store-Era'
+_ERA_HEADER = 'Store-Era'
 _OK = 200
 _GONE = 410
-# The store answers in milliseconds; beyond the time that a read waits there,
-# silence for so long means that the connection is dead.
-_MARGIN_MS = 600
-_MARGIN = timedelta(milliseconds=_MARGIN_MS)
+# The store responds within milliseconds, or within the wait that a read asks
+# for. If it sends nothing for this time beyond that, the connection is dead.
+_TIMEOUT_MARGIN_MS = 600
+_TIMEOUT_MARGIN = timedelta(milliseconds=_TIMEOUT_MARGIN_MS)
 
 
 class StoreClient:
-    """One connection to the store, for one thread."""
+    """A connection to the store, to be used by one thread."""
 
     def __init__(self, address: Address) -> None:
-        """Connect later, with the first call.
+        """Prepare the connection; the first call opens it.
 
         Args:
-          address: Where the store is.
+          address: The address of the store.
         """
         self._address = address
         self._connection: HTTPConnection | None = None
@@ -55,47 +55,51 @@
         """Return the newest record of each key of a topic.
 
         Args:
-          topic: The topic.
+          topic: The topic to read.
 
         Returns:
-          The records, or why there are none.
+          The records, or the reason why they cannot be read.
         """
         records: dict[str, KeyedRecord] = {}
-        first: Page | None = None
+        first_page: Page | None = None
         after: str | None = None
         while True:
             era = self._era
             page = self._page(topic, after)
             if isinstance(page, StoreUnavailable):
                 return page
-            if first is not None and self._era != era:
+            if first_page is not None and self._era != era:
                 return StoreUnavailable('the pages are of two eras')
-            # The pages are not of one moment. What is written to keys of the
-            # first while the others are read comes after its end offset.
-            first = first or page
-            found = {each.key: _keyed(each) for each in page.elements}
-            if not page.has_more or not found:
-                records.update(found)
+            # The pages are not a consistent snapshot. Records that are appended
+            # while later pages are read lie after the first page's end offset,
+            # so a reader that continues from there sees them.
+            first_page = first_page or page
+            page_records = {
+                each.key: _to_record(each) for each in page.elements
+            }
+            if not page.has_more or not page_records:
+                records.update(page_records)
                 return Records(
-                    tuple(records.values()), first.end_offset, self._era
+                    tuple(records.values()), first_page.end_offset, self._era
                 )
-            if found.keys() <= records.keys():
+            if page_records.keys() <= records.keys():
                 return StoreUnavailable('the pages of newest records repeat')
-            records.update(found)
+            records.update(page_records)
             after = page.elements[-1].key
 
     def read(
         self, topic: Topic, start: int, wait: timedelta
     ) -> Records | Trimmed | StoreUnavailable:
-        """Return the records from an offset on.
+        """Return the records of a topic from an offset on.
 
         Args:
-          topic: The topic.
-          start: The offset.
-          wait: How long the store may wait for the first record.
+          topic: The topic to read.
+          start: The offset of the first record.
+          wait: How long the store may wait for a record at that offset.
 
         Returns:
-          The records, that they are deleted, or why there are none.
+          The records, `Trimmed` if the record at `start` was deleted, or the
+          reason why they cannot be read.
         """
         query = {
             'topic': _TOPICS[topic],
@@ -103,14 +107,14 @@
             'from': start,
             'waitMs': int(wait / timedelta(milliseconds=1)),
         }
-        found = self._get('/-/log-read', query, wait)
-        if isinstance(found, StoreUnavailable):
-            return found
-        status, body = found
+        response = self._get('/-/log-read', query, wait)
+        if isinstance(response, StoreUnavailable):
+            return response
+        status, body = response
         if status == _GONE:
             return Trimmed()
         if status != _OK:
-            return _refused(status)
+            return _unexpected_status(status)
         records = decode_records(body, start)
         if isinstance(records, BadFormat):
             return StoreUnavailable(f'bad records: {records.describe()}')
@@ -119,38 +123,39 @@
     def append(
         self, topic: Topic, key: str, content: bytes | None
     ) -> StoreUnavailable | None:
-        """Write a record.
+        """Append a record to a topic.
 
         Args:
           topic: One of the gateways' own topics.
           key: The record's key, at most 255 bytes.
-          content: The record; None drops the key.
+          content: The record's content; None deletes the key.
 
         Returns:
-          None once the store has it, or why that is not known.
+          None if the store has confirmed the record, else the reason why it
+          is unknown whether the store has it.
         """
         query = urlencode({'topic': _TOPICS[topic], 'part': 0})
-        found = self._call(
+        response = self._call(
             'POST',
             f'/-/log-append?{query}',
             timedelta(),
             encode_record(key, content),
         )
-        if isinstance(found, StoreUnavailable):
-            return found
-        status, _body = found
-        return None if status == _OK else _refused(status)
+        if isinstance(response, StoreUnavailable):
+            return response
+        status, _body = response
+        return None if status == _OK else _unexpected_status(status)
 
     def _page(self, topic: Topic, after: str | None) -> Page | StoreUnavailable:
         query = {'topic': _TOPICS[topic], 'part': 0}
         if after is not None:
             query['after'] = after
-        found = self._get('/-/log-newest', query, timedelta())
-        if isinstance(found, StoreUnavailable):
-            return found
-        status, body = found
+        response = self._get('/-/log-newest', query, timedelta())
+        if isinstance(response, StoreUnavailable):
+            return response
+        status, body = response
         if status != _OK:
-            return _refused(status)
+            return _unexpected_status(status)
         page = decode_page(body)
         if isinstance(page, BadFormat):
             return StoreUnavailable(f'a bad page: {page.describe()}')
@@ -168,27 +173,27 @@
         wait: timedelta,
         body: bytes | None = None,
     ) -> tuple[int, bytes] | StoreUnavailable:
-        limit = (wait + _MARGIN).total_seconds()
+        timeout_s = (wait + _TIMEOUT_MARGIN).total_seconds()
         try:
-            response = self._send(method, target, limit, body)
+            response = self._send(method, target, timeout_s, body)
             content = response.read()
         except (OSError, HTTPException) as error:
             self._close()
             return StoreUnavailable(repr(error))
-        stated = response.getheader(_ERA, '')
-        if stated.isdecimal():
-            self._era = int(stated)
+        era_text = response.getheader(_ERA_HEADER, '')
+        if era_text.isdecimal():
+            self._era = int(era_text)
         return response.status, content
 
     def _send(
-        self, method: str, target: str, limit: float, body: bytes | None
+        self, method: str, target: str, timeout_s: float, body: bytes | None
     ) -> HTTPResponse:
         if self._connection is None:
             self._connection = HTTPConnection(
-                self._address.ip, self._address.port, timeout=limit
+                self._address.ip, self._address.port, timeout=timeout_s
             )
         if self._connection.sock is not None:
-            self._connection.sock.settimeout(limit)
+            self._connection.sock.settimeout(timeout_s)
         self._connection.request(method, target, body)
         return self._connection.getresponse()
 
@@ -198,9 +203,9 @@
         self._connection = None
 
 
-def _refused(status: int) -> StoreUnavailable:
+def _unexpected_status(status: int) -> StoreUnavailable:
     return StoreUnavailable(f'the store answered {status}')
 
 
-def _keyed(element: Element) -> KeyedRecord:
+def _to_record(element: Element) -> KeyedRecord:
     return KeyedRecord(element.key, element.offset, element.value or None)
