--- a/linnetwind/platform/decoding_test.py
+++ b/linnetwind/platform/decoding_test.py
@@ -1,4 +1,4 @@
-"""Tests of decoding any content in threads with small stacks."""
+"""Tests of decoding arbitrary content on threads with small stacks."""
 
 import threading
 
@@ -11,13 +11,13 @@
 from linnetwind.platform.upstream_format import decode_upstream
 from linnetwind.record_store import KeyedRecord
 
-# That of a rank agent's threads.
-SMALL_STACK = 131_072
+# The stack size of a rank agent's threads.
+RANK_AGENT_STACK_BYTES = 131_072
 
 
 @pytest.fixture(name='run_on_small_stack')
 def _run_on_small_stack():
-    before = threading.stack_size(SMALL_STACK)
+    previous = threading.stack_size(RANK_AGENT_STACK_BYTES)
 
     def run(work):
         found = []
@@ -27,18 +27,18 @@
         return found[0]
 
     yield run
-    threading.stack_size(before)
+    threading.stack_size(previous)
 
 
 @pytest.mark.parametrize('depth', [33, 900, 100_000])
 @pytest.mark.parametrize('opening', ['[', '{"a":', '{"models":[{"a":'])
-def test_deep_nesting_is_an_error_and_ends_no_process(
+def test_deep_nesting_is_an_error_and_crashes_no_process(
     run_on_small_stack, depth, opening
 ):
-    # A worker or another writer sends content that nests some hundred levels
-    # deep. The parser calls itself for each level and overflows the thread's
-    # stack: the daemon ends by a signal, without a line in its log, and again
-    # whenever it is started, as long as the content is there.
+    # A worker or another writer sends content that is nested hundreds of levels
+    # deep. The parser recurses for each level and overflows the thread's stack:
+    # a signal kills the daemon and nothing is logged. The daemon crashes again
+    # after each restart while the content is in the store.
     for content in (
         (opening * depth).encode(),
         b'{"models":[{"a":%s1' % (opening * depth).encode(),
@@ -53,7 +53,7 @@
             assert found == BadFormat('', 'is nested more than 32 deep')
 
 
-def test_brackets_within_text_nest_nothing():
+def test_brackets_in_strings_do_not_count_as_nesting():
     text = '"' + '[' * 100 + '\\"' + '{' * 100 + '"'
     found = decode_table(b'{"version":%s}' % text.encode())
     assert found.field == 'version'
--- a/linnetwind/platform/rank_client_test.py
+++ b/linnetwind/platform/rank_client_test.py
@@ -1,8 +1,8 @@
-"""Tests of what a worker says of its rank, good, bad and nearly good.
+"""Tests of valid, malformed and almost valid responses of a rank's worker.
 
-The planner orders maps by these answers. One that raises ends the planner's
-round, and with it the maps of all groups; one that is nearly right leads to
-orders for another state than the rank is in.
+The planner chooses expert maps from these responses. If decoding one of them
+raises, the planner's round ends and no group gets a map. If an almost valid
+one is accepted, the planner sends orders for a state that the rank is not in.
 """
 
 import json
@@ -44,42 +44,42 @@
     'mapping': {'version': 4, 'experts': [[0, 1], [2, 3]]},
     'preloaded': None,
 }
-ANSWERS = {
+RESPONSES = {
     '/-/report': REPORT,
     '/-/picked': COUNTS,
     '/-/picked?lists=1': EXPERTS,
 }
 
 
-@pytest.fixture(name='ask')
-def _ask():
-    """Return a function that asks a rank which answers something else."""
-    opened = []
+@pytest.fixture(name='query')
+def _query():
+    """Return a function that queries a rank whose response is altered."""
+    upstreams = []
 
-    def ask(call, changed=None, text=None):
+    def query(call, changed=None, text=None):
         def answer(connection, request):
-            fields = {**ANSWERS[request.target], **(changed or {})}
-            kept = {
+            fields = {**RESPONSES[request.target], **(changed or {})}
+            present_fields = {
                 key: found
                 for key, found in fields.items()
                 if found is not MISSING
             }
-            body = json.dumps(kept) if text is None else text
+            body = json.dumps(present_fields) if text is None else text
             connection.answer(request, body)
 
         upstream = ScriptedUpstream(answer)
-        opened.append(upstream)
+        upstreams.append(upstream)
         log = ListLog()
         address = Address('127.0.0.1', upstream.port)
         client = RankClient(address, 20 * REMOTE_TIMEOUT, log)
         return getattr(client, call)(), log.of(BadAnswer)
 
-    yield ask
-    for upstream in opened:
+    yield query
+    for upstream in upstreams:
         upstream.close()
 
 
-def test_good_answers_are_decoded(ask):
+def test_valid_responses_are_decoded(query):
     report = RankReport(
         group='g',
         rank=3,
@@ -98,18 +98,18 @@
         running=12,
         waiting=1,
     )
-    assert ask('report') == (report, [])
-    assert ask('counts') == (RankCounts(1, 812, (5120, 88, 940)), [])
-    assert ask('experts') == (RankExperts(1, 4, ((0, 1), (2, 3))), [])
+    assert query('report') == (report, [])
+    assert query('counts') == (RankCounts(1, 812, (5120, 88, 940)), [])
+    assert query('experts') == (RankExperts(1, 4, ((0, 1), (2, 3))), [])
 
 
 @pytest.mark.parametrize('call', ['report', 'counts', 'experts'])
-def test_a_rank_may_state_the_start_of_its_process(ask, call):
+def test_a_response_may_contain_the_start_time_of_the_process(query, call):
     assert (
-        ask(call, {'born': 1_764_000_000_000})[0].born_ms == 1_764_000_000_000
+        query(call, {'born': 1_764_000_000_000})[0].born_ms == 1_764_000_000_000
     )
     for born in (None, *BORN):
-        found, (bad,) = ask(call, {'born': born})
+        found, (bad,) = query(call, {'born': born})
         assert found is None
         assert (bad.call, bad.field) == (call, 'born')
 
@@ -148,10 +148,10 @@
         ),
     ],
 )
-def test_a_wrong_answer_is_none_and_logged_with_its_field(
-    ask, call, field, changed
+def test_a_malformed_response_is_none_and_its_field_is_logged(
+    query, call, field, changed
 ):
-    found, (bad,) = ask(call, changed)
+    found, (bad,) = query(call, changed)
     assert found is None
     assert (bad.call, bad.field) == (call, field)
     assert bad.reason
@@ -161,14 +161,15 @@
 @pytest.mark.parametrize(
     'text', ['', 'no json', '[]', 'null', '{}', '{"a":' * 5000, '[' * 100_000]
 )
-def test_any_answer_is_decoded_or_logged(ask, call, text):
-    found, (bad,) = ask(call, text=text)
+def test_an_undecodable_response_is_logged(query, call, text):
+    found, (bad,) = query(call, text=text)
     assert found is None
     assert bad.reason
 
 
-def test_a_wrong_answer_is_logged_once_until_it_changes():
-    # Ranks are asked many times a second.
+def test_a_malformed_response_is_logged_once_until_it_changes():
+    # Ranks are queried many times a second, so repeated lines would flood the
+    # log.
     bodies = ['{}', '{}', json.dumps(COUNTS), '{}', '[]']
 
     def answer(connection, request):
@@ -199,10 +200,11 @@
         (504, OrderResult.NO_ANSWER),
     ],
 )
-def test_only_a_named_answer_says_what_became_of_an_order(status, result):
-    # An engine that fails while it carries out an order answers 500, or a
-    # proxy 504. The order may have been carried out or may be later; whoever
-    # takes it for refused gives the next one as if the rank had not moved.
+def test_only_a_specified_status_tells_the_result_of_an_order(status, result):
+    # An engine that fails while it carries out an order responds with 500, or a
+    # proxy with 504. The order may have been carried out or may still be. If
+    # this counted as a refusal, the next order would assume that the rank's
+    # state had not changed.
     upstream = ScriptedUpstream(
         lambda connection, request: connection.answer(request, '', status)
     )
@@ -211,5 +213,5 @@
     client = RankClient(address, 20 * REMOTE_TIMEOUT, log)
     assert client.order(DisarmMap(5, 1)) is result
     upstream.close()
-    named = status in {200, 202, 400, 409, 412, 421}
-    assert len(log.of(BadAnswer)) == (0 if named else 1)
+    is_specified = status in {200, 202, 400, 409, 412, 421}
+    assert len(log.of(BadAnswer)) == (0 if is_specified else 1)
--- a/linnetwind/platform/store_client_test.py
+++ b/linnetwind/platform/store_client_test.py
@@ -37,7 +37,7 @@
     return StoreClient(Address('127.0.0.1', store.port))
 
 
-def test_the_newest_records_come_in_pages(store, client):
+def test_the_newest_records_are_read_in_pages(store, client):
     for number in range(12):
         store.put('keyed.servers', f'i-{number:02}', {'n': number})
     store.put('keyed.servers', 'i-03', None)
@@ -61,17 +61,17 @@
     assert client.read(Topic.CONFIGURATION, 2, NO_WAIT) == Records((), 2)
 
 
-def test_deleted_records_are_said_to_be_deleted(store, client):
+def test_reading_a_deleted_offset_returns_trimmed(store, client):
     store.put('keyed.op', 'config', {'version': 1})
     store.forget('keyed.op')
     assert client.read(Topic.CONFIGURATION, 0, NO_WAIT) == Trimmed()
 
 
 @pytest.mark.parametrize('outage', ['busy', 'cut', 'silent'])
-def test_an_outage_is_an_answer_and_ends(store, client, outage):
-    # The store refuses, resets or stays silent. The caller of the client
-    # gets a typed answer within a second, and the next call after the outage
-    # works on a new connection.
+def test_an_outage_is_reported_and_the_client_recovers(store, client, outage):
+    # The store rejects calls, resets connections or sends nothing. The client
+    # returns an error within a second, and the next call after the outage
+    # succeeds on a new connection.
     store.put('keyed.op', 'config', {'version': 1})
     assert isinstance(client.newest(Topic.CONFIGURATION), Records)
     store.outage = outage
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize(
     'content', [b'', b'{}', b'[]', b'no json', b'{"service": 1}', b'\xff\xfe']
 )
-def test_a_record_in_another_format_is_an_error_not_a_crash(content):
+def test_a_malformed_record_is_an_error_and_not_a_crash(content):
     decoded = decode_upstream(KeyedRecord('i', 4, content))
     if content:
         assert decoded.reason
@@ -110,7 +110,7 @@
         b'"endOffset":3}',
     ],
 )
-def test_a_page_in_another_format_is_as_good_as_no_answer(
+def test_a_malformed_page_means_that_the_store_is_unavailable(
     store, client, body, monkeypatch
 ):
     monkeypatch.setattr(store, '_newest', lambda _query: body)
@@ -119,7 +119,7 @@
     assert found.problem
 
 
-def test_pages_that_never_end_are_given_up(store, client, monkeypatch):
+def test_reading_stops_if_pages_repeat(store, client, monkeypatch):
     page = (
         b'{"elements":[{"key":"a","offset":0,"value":"e30="}],'
         b'"hasMore":true,"endOffset":3}'
@@ -128,22 +128,22 @@
     assert isinstance(client.newest(Topic.UPSTREAMS), StoreUnavailable)
 
 
-def test_what_is_written_while_pages_are_read_is_read_later(
+def test_records_appended_while_pages_are_read_are_read_later(
     store, client, monkeypatch
 ):
-    # The pages are not of one moment. A key of the first page gets a newer
-    # record while the second is read; the reader must go on from where the
-    # store was at the first, or it never sees that record.
+    # The pages are not a consistent snapshot. A key of the first page gets a
+    # newer record while the second page is read. The reader must continue from
+    # the first page's end offset, or it never sees that record.
     for number in range(7):
         store.put('keyed.servers', f'i-{number}', {'n': number})
     newest = store._newest
 
-    def write_behind(query):
+    def append_after_page(query):
         page = newest(query)
         store.put('keyed.servers', 'i-0', {'n': 'newer'})
         return page
 
-    monkeypatch.setattr(store, '_newest', write_behind)
+    monkeypatch.setattr(store, '_newest', append_after_page)
     found = client.newest(Topic.UPSTREAMS)
     later = client.read(Topic.UPSTREAMS, found.end, NO_WAIT)
     assert KeyedRecord('i-0', 7, b'{"n": "newer"}') in later.records
@@ -159,13 +159,13 @@
 
 
 @pytest.mark.parametrize(
-    ('strange', 'key'),
+    ('unreadable', 'key'),
     [(b'', ''), (b'\x09a', ''), (b'\x01\xff{}', '\ufffd'), (b'\x00{}', '')],
 )
-def test_a_record_without_a_readable_key_hides_no_other(
-    store, client, strange, key, monkeypatch
+def test_a_record_with_an_unreadable_key_hides_no_other(
+    store, client, unreadable, key, monkeypatch
 ):
-    body = _framed(GOOD, strange, GOOD)
+    body = _framed(GOOD, unreadable, GOOD)
     monkeypatch.setattr(store, '_read', lambda _query: (200, body))
     found = client.read(Topic.UPSTREAMS, 5, NO_WAIT)
     assert found.end == 8
@@ -178,19 +178,19 @@
     assert isinstance(decoded, BadFormat) or decoded.upstream is None
 
 
-def test_a_record_that_is_cut_off_is_read_again(store, client, monkeypatch):
-    # Taken as it is, half an entry would count as a bad one, and the upstream
-    # would get no work until its next change.
+def test_a_truncated_record_is_read_again(store, client, monkeypatch):
+    # If half of an entry were decoded, it would count as a bad entry, and its
+    # upstream would get no requests until the entry changed again.
     body = _framed(GOOD, GOOD)[:-1]
     monkeypatch.setattr(store, '_read', lambda _query: (200, body))
     found = client.read(Topic.UPSTREAMS, 5, NO_WAIT)
     assert found == Records((KeyedRecord('a', 5, b'{}'),), 6)
     for length in (0, 7, 18, 22):
-        cut = _framed(GOOD)[:length]
+        truncated = _framed(GOOD)[:length]
         monkeypatch.setattr(
             store,
             '_read',
-            lambda _query: (200, cut),  # noqa: B023
+            lambda _query: (200, truncated),  # noqa: B023
         )
         found = client.read(Topic.UPSTREAMS, 5, NO_WAIT)
         assert isinstance(found, StoreUnavailable)
@@ -214,7 +214,7 @@
     assert isinstance(decode_page(rest), BadFormat)
 
 
-def test_what_is_appended_is_the_newest_record_of_its_key(client):
+def test_an_appended_record_is_the_newest_of_its_key(client):
     assert client.append(Topic.QUARANTINE, 'a', b'first') is None
     assert client.append(Topic.QUARANTINE, 'b', b'other') is None
     assert client.append(Topic.QUARANTINE, 'a', b'second') is None
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize('outage', ['busy', 'cut', 'silent'])
-def test_an_append_without_an_answer_says_so(store, client, outage):
+def test_an_append_without_a_response_is_an_error(store, client, outage):
     store.outage = outage
     found = client.append(Topic.QUARANTINE, 'a', b'x')
     assert isinstance(found, StoreUnavailable)
@@ -232,13 +232,13 @@
     assert client.append(Topic.QUARANTINE, 'a', b'x') is None
 
 
-def test_the_era_goes_with_what_is_read(store, client):
+def test_records_are_returned_with_the_store_era(store, client):
     store.put('keyed.op', 'config', {'version': 1})
     copy = store.copy()
     store.put('keyed.op', 'config', {'version': 2})
     assert client.newest(Topic.CONFIGURATION).position == Position(0, 2)
     store.come_back_from(copy)
-    # The place is not there any more, and is said to be deleted.
+    # The restored store has no such offset and reports it as deleted.
     assert client.read(Topic.CONFIGURATION, 2, NO_WAIT) == Trimmed()
     assert client.newest(Topic.CONFIGURATION).position == Position(1, 1)
     store.put('keyed.op', 'config', {'version': 2})
@@ -246,7 +246,7 @@
     assert found.position == Position(1, 2)
 
 
-def test_an_answer_without_an_era_leaves_it_as_it_was(store, client):
+def test_a_response_without_a_valid_era_keeps_the_last_era(store, client):
     store.era = 3
     store.put('keyed.op', 'config', {'version': 1})
     client.newest(Topic.CONFIGURATION)
@@ -255,9 +255,9 @@
         assert client.newest(Topic.CONFIGURATION).era == 3
 
 
-def test_pages_of_two_eras_are_no_list(store, client):
-    # The store comes back between two pages. Together they hold entries of
-    # both and miss some.
+def test_pages_of_two_eras_are_an_error(store, client):
+    # The store is restored between two pages. Together, the pages mix entries
+    # of both eras and lack some of them.
     for number in range(12):
         store.put('keyed.servers', f'i-{number:02}', {'n': number})
     client.newest(Topic.UPSTREAMS)
--- a/linnetwind/platform/table_format_test.py
+++ b/linnetwind/platform/table_format_test.py
@@ -1,4 +1,4 @@
-"""Tests of decoding configurations, good, bad and nearly good."""
+"""Tests of decoding valid, malformed and almost valid configurations."""
 
 import json
 
@@ -17,7 +17,7 @@
     **configuration(3, 'plain', 'model', targetGapMs=120),
     'tenants': [{'name': 'c', 'apiKeys': ['k'], 'priority': 1}],
 }
-# Without customers, a configuration is for callers who have no keys.
+# Customers are optional: all callers may be anonymous.
 NEEDED = {
     field: TABLE[field] for field in ('version', 'routes', 'services', 'limits')
 }
@@ -53,7 +53,7 @@
     assert engine.copy_ms == pytest.approx(111.1, abs=0.1)
 
 
-def _route(**changes):
+def _changed_route(**changes):
     route = {**TABLE['routes'][0], **changes}
     return {key: found for key, found in route.items() if found is not MISSING}
 
@@ -70,7 +70,7 @@
         *(
             (
                 f'routes[0].{field}',
-                {**TABLE, 'routes': [_route(**{field: bad})]},
+                {**TABLE, 'routes': [_changed_route(**{field: bad})]},
             )
             for field, bad in (
                 ('kind', 'other'),
@@ -86,7 +86,7 @@
         ),
     ],
 )
-def test_a_configuration_in_another_format_names_its_field(field, fields):
+def test_the_error_for_a_malformed_configuration_names_the_field(field, fields):
     assert isinstance(_table(TABLE), RouteTable)
     assert _table(fields).field == field
 
--- a/linnetwind/platform/upstream_format_test.py
+++ b/linnetwind/platform/upstream_format_test.py
@@ -1,8 +1,8 @@
-"""Tests of decoding entries of upstreams, good, bad and nearly good.
+"""Tests of decoding valid, malformed and almost valid entries of upstreams.
 
-Other writers may put entries among those of the upstreams. One that is taken
-for an upstream draws requests that nobody answers; one that raises ends the
-reading of the topic at its place, so that no later upstream is ever seen.
+Other writers may append entries to the topic of upstreams. If such an entry is
+accepted as an upstream, it attracts requests that never get a response. If
+decoding it raises, reading stops at its offset, and no later upstream is found.
 """
 
 import json
@@ -30,7 +30,7 @@
     'coldRemainingMs': 0,
     'sequence': 4,
 }
-DEEP = '[' * 100_000 + ']' * 100_000
+DEEPLY_NESTED = '[' * 100_000 + ']' * 100_000
 BOUNDED = settings(max_examples=150, derandomize=True, deadline=None)
 
 
@@ -73,7 +73,7 @@
         ('unknown', '"[' * 100),
     ],
 )
-def test_what_the_platform_may_write_is_an_upstream(field, content):
+def test_an_entry_with_other_valid_fields_is_an_upstream(field, content):
     found = _decoded({**ENTRY, field: content})
     assert isinstance(found, Registered)
     assert found.upstream.draining == (content == 'draining')
@@ -125,9 +125,7 @@
         ),
     ],
 )
-def test_an_entry_of_another_writer_is_an_error_that_names_its_field(
-    field, content
-):
+def test_the_error_for_a_malformed_entry_names_the_field(field, content):
     fields = {**ENTRY, re.split('[.[]', field)[0]: content}
     if content is MISSING:
         fields.pop(field)
@@ -153,14 +151,16 @@
         json.dumps(ENTRY).encode().replace(b'"z"', b'"\xff"'),
         json.dumps(ENTRY).replace('6', '1e400').encode(),
         json.dumps(ENTRY).replace('6', '9' * 5000).encode(),
-        json.dumps({**ENTRY, 'x': 1}).replace('1}', f'{DEEP}}}').encode(),
+        json.dumps({**ENTRY, 'x': 1})
+        .replace('1}', f'{DEEPLY_NESTED}}}')
+        .encode(),
         json.dumps({**ENTRY, 'x': 1}).encode().replace(b'"x"', b'"\xff"'),
-        DEEP.encode(),
+        DEEPLY_NESTED.encode(),
         b'{"a":' * 5000,
         b'"\\"' * 30_000,
     ],
 )
-def test_bytes_that_cannot_be_read_are_an_error_not_a_crash(content):
+def test_undecodable_bytes_are_an_error_and_not_a_crash(content):
     found = _decoded(content)
     assert not isinstance(found, Registered)
     assert found.reason
@@ -168,9 +168,9 @@
 
 
 @pytest.mark.parametrize('key', ['', 'i 1', 'i\r\nX: y', '\ufffd', 'i' * 256])
-def test_a_key_that_no_header_can_carry_is_no_upstream(key):
-    # The key goes out in a header with each request. A line break in it would
-    # begin another header, and other characters cannot be sent at all.
+def test_a_key_that_is_unsafe_in_a_header_is_an_error(key):
+    # The key is sent in a header of each request. A line break in it would
+    # inject another header, and other characters cannot be sent in a header.
     assert _decoded(ENTRY, key).field == 'key'
     dropped = decode_upstream(KeyedRecord(key, 7, None))
     assert dropped == Registered(key, 7, None)
--- a/linnetwind/platform/wire_names_test.py
+++ b/linnetwind/platform/wire_names_test.py
@@ -1,11 +1,11 @@
-"""The platform's names stay in this folder."""
+"""Tests that the platform's names stay in this folder and files stay small."""
 
 import re
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent
 
-# Headers, fields and paths that have no meaning of their own in our code.
+# Headers, fields and paths that only the platform's protocol uses.
 WIRE_NAMES = re.compile(
     '|'.join(
         (
@@ -33,21 +33,21 @@
 )
 
 
-def test_no_other_module_knows_a_name_of_the_wire():
-    found = [
+def test_no_module_outside_this_folder_uses_wire_names():
+    violations = [
         f'{path.name}: {name}'
         for path in sorted(PACKAGE.glob('*.py'))
         for name in WIRE_NAMES.findall(path.read_text())
     ]
-    assert found == []
+    assert violations == []
 
 
 def test_files_stay_small():
-    # Larger files hold more than one job, and a newcomer loses the thread.
-    large = [
+    # A larger file has more than one responsibility and is hard to follow.
+    large_files = [
         path.name
         for path in [*PACKAGE.glob('*.py'), *PACKAGE.glob('platform/*.py')]
         if len(path.read_text().splitlines()) > 400
         and not path.name.endswith('_test.py')
     ]
-    assert large == []
+    assert large_files == []
