--- a/linnetwind/platform/gateway_crashes_test.py
+++ b/linnetwind/platform/gateway_crashes_test.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash the upstreams which begin to run them."""
+"""Tests of requests that crash every upstream that starts to run them."""
 
 from contextlib import suppress
 from http.client import HTTPException
@@ -8,8 +8,8 @@
 from linnetwind.gateway_events import RequestEnded, UpstreamCrashed
 from standins.gateway_requests import GET, ONCE, STREAM
 
-UPSTREAMS = 8
-MOST_CRASHES = 3
+UPSTREAM_COUNT = 8
+MAX_CRASHES = 3
 EVENTS = [f'id: {number}\ndata: {number}\n\n' for number in range(1, 4)]
 
 
@@ -25,16 +25,17 @@
     connection.crash()
 
 
-def _ask_again_and_again(gateway, text, tries=UPSTREAMS):
-    """Send a request as callers do that try again; return the statuses.
+def _send_with_retries(gateway, text, attempts=UPSTREAM_COUNT):
+    """Send a request repeatedly, as a retrying caller does; return statuses.
 
-    Each try has an id of its own; one without a whole answer has no status.
+    Each attempt has its own id. An attempt without a complete response adds no
+    status.
     """
     statuses = []
-    for number in range(tries):
+    for number in range(attempts):
         with suppress(HTTPException, OSError):
-            tried = text.replace('call-1', f'call-{number}')
-            statuses.append(gateway.ask(tried)[0])
+            retry_text = text.replace('call-1', f'call-{number}')
+            statuses.append(gateway.ask(retry_text)[0])
     return statuses
 
 
@@ -47,44 +48,46 @@
         (STREAM, 'model', _crash_in_stream),
     ],
 )
-def test_a_request_that_crashes_upstreams_is_not_sent_for_ever(
+def test_a_request_that_crashes_upstreams_is_refused_in_the_end(
     gateway, text, service, script
 ):
-    # Each upstream that begins the request crashes: its connection is reset
-    # and its port refuses the next one. The caller tries again, as it is told
-    # nothing else, and each try took one or two more upstreams with it until
-    # none was left: a try knew only the upstreams that it had itself. In a
-    # rank group each crash cuts the streams of all other callers.
-    upstreams = [gateway.add(script, service) for _number in range(UPSTREAMS)]
-    _ask_again_and_again(gateway, text)
-    begun = sum(len(each.requests) for each in upstreams)
-    assert begun <= MOST_CRASHES
-    # Every one of them was seen to crash, and was put down to one request.
+    # Each upstream that starts the request crashes: its connection is reset
+    # and its port refuses new ones. The caller retries, since no response tells
+    # it otherwise. If a retry knew only the upstreams of its own attempts, each
+    # retry would crash one or two more until none was left. In a rank group,
+    # each crash cuts the streams of all other callers.
+    upstreams = [
+        gateway.add(script, service) for _number in range(UPSTREAM_COUNT)
+    ]
+    _send_with_retries(gateway, text)
+    started = sum(len(each.requests) for each in upstreams)
+    assert started <= MAX_CRASHES
+    # Each crash was detected and attributed to the same request.
     crashes = gateway.log.of(UpstreamCrashed)
-    assert len(crashes) == begun
+    assert len(crashes) == started
     assert len({each.fingerprint for each in crashes}) == 1
-    ended = gateway.log.nth(RequestEnded, UPSTREAMS)
+    ended = gateway.log.nth(RequestEnded, UPSTREAM_COUNT)
     assert ended.outcome == 'refused'
     assert not ended.upstreams
 
 
-def test_other_requests_go_on_while_one_crashes_upstreams(gateway):
-    # The request beside it differs in its path only, and is served.
+def test_other_requests_are_served_while_one_crashes_upstreams(gateway):
+    # The request that is served differs from the crashing one only in its path.
     def crash_by_path(connection, request):
         if request.target.startswith('/x/bad'):
             connection.crash()
         else:
             connection.answer(request)
 
-    for _number in range(UPSTREAMS):
+    for _number in range(UPSTREAM_COUNT):
         gateway.add(crash_by_path)
-    _ask_again_and_again(gateway, GET.replace('/x/1', '/x/bad'))
-    assert _ask_again_and_again(gateway, GET, 3) == [200] * 3
+    _send_with_retries(gateway, GET.replace('/x/1', '/x/bad'))
+    assert _send_with_retries(gateway, GET, 3) == [200] * 3
 
 
-def test_callers_of_a_broken_group_are_told_when_it_opens(gateway):
-    # One rank crashes. The other ranks would take the next streams, stand
-    # still with them and refuse them later.
+def test_callers_of_a_broken_group_get_the_time_until_it_opens(gateway):
+    # One rank crashes. The other ranks of its group would accept the next
+    # streams, stall with them and refuse them later.
     gateway.add(_crash, 'model')
     gateway.ask(STREAM)
     other = gateway.add(_crash, 'model')
--- a/linnetwind/platform/gateway_leaving_test.py
+++ b/linnetwind/platform/gateway_leaving_test.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that say in their answers that they are leaving."""
+"""Tests of upstreams that announce in a response that they are leaving."""
 
 import pytest
 
@@ -11,15 +11,15 @@
 CALLS = 20
 
 
-def _leave(connection, request):
+def _respond_leaving(connection, request):
     connection.answer(request, Server_Leaving='1')
 
 
-def _leave_in_stream(connection, request):
+def _stream_leaving(connection, request):
     stream(connection, request, Server_Leaving='1')
 
 
-def _refuse(connection, request):
+def _refuse_leaving(connection, request):
     connection.answer(request, 'no', 503, Not_Executed='1', Server_Leaving='1')
 
 
@@ -28,32 +28,32 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'leave', 'stay'),
+    ('text', 'leaving_script', 'staying_script'),
     [
-        (GET, _leave, answer),
-        (ONCE, _leave, answer),
-        (GET, _refuse, answer),
-        (STREAM, _leave_in_stream, stream),
-        (FRAGILE, _leave_in_stream, stream),
-        (STREAM, _refuse, stream),
+        (GET, _respond_leaving, answer),
+        (ONCE, _respond_leaving, answer),
+        (GET, _refuse_leaving, answer),
+        (STREAM, _stream_leaving, stream),
+        (FRAGILE, _stream_leaving, stream),
+        (STREAM, _refuse_leaving, stream),
     ],
 )
-def test_an_upstream_that_says_it_leaves_gets_no_more(
-    gateway, text, leave, stay
+def test_a_leaving_upstream_gets_no_more_requests(
+    gateway, text, leaving_script, staying_script
 ):
-    """Guards against work for an upstream whose entry still says ready."""
+    """Guards against requests to an upstream whose entry is still `ready`."""
     service = 'model' if text in {STREAM, FRAGILE} else 'plain'
-    leaving = gateway.add(leave, service)
-    gateway.add(stay, service)
+    leaving = gateway.add(leaving_script, service)
+    gateway.add(staying_script, service)
     assert _statuses(gateway, text) == [200] * CALLS
     assert len(leaving.requests) <= 1
     if leaving.requests:
         assert gateway.log.first(UpstreamLeaves).upstream == 'i-0'
 
 
-def test_a_later_entry_of_an_upstream_that_leaves_changes_nothing(gateway):
-    """Guards against a heartbeat that brings a leaving upstream back."""
-    leaving = gateway.add(_leave)
+def test_a_later_entry_does_not_bring_a_leaving_upstream_back(gateway):
+    """Guards against a heartbeat that makes a leaving upstream usable."""
+    leaving = gateway.add(_respond_leaving)
     assert gateway.ask(GET)[0] == 200
     entry = make_upstream('i-0', leaving.port)
     gateway.state.change_upstreams(
@@ -63,20 +63,22 @@
     assert len(leaving.requests) == 1
 
 
-def test_a_leaving_upstream_that_starts_again_gets_work(gateway):
-    leaving = gateway.add(_leave)
+def test_a_leaving_upstream_gets_requests_after_a_restart(gateway):
+    leaving = gateway.add(_respond_leaving)
     gateway.ask(GET)
-    reborn = make_upstream('i-0', leaving.port, born_ms=7)
+    restarted = make_upstream('i-0', leaving.port, born_ms=7)
     gateway.state.change_upstreams(
-        lambda known: known.take([Registered('i-0', 9, reborn)], 10)
+        lambda known: known.take([Registered('i-0', 9, restarted)], 10)
     )
     assert gateway.ask(GET)[0] == 200
 
 
-@pytest.mark.parametrize('said', ['0', '', 'yes'])
-def test_only_one_word_says_that_an_upstream_leaves(gateway, said):
+@pytest.mark.parametrize('header', ['0', '', 'yes'])
+def test_other_header_values_do_not_mark_an_upstream_as_leaving(
+    gateway, header
+):
     def script(connection, request):
-        connection.answer(request, Server_Leaving=said)
+        connection.answer(request, Server_Leaving=header)
 
     gateway.add(script)
     assert _statuses(gateway, GET) == [200] * CALLS
--- a/linnetwind/platform/gateway_limits_test.py
+++ b/linnetwind/platform/gateway_limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that say how many requests a second they take."""
+"""Tests of upstreams that state a limit of requests per second."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -8,74 +8,75 @@
 from standins.gateway_requests import GET, STREAM
 from standins.upstream_scripts import answer, stream
 
-# What may reach an upstream beside one and a half times what it named.
-EXTRA = 5
+# Requests that may reach an upstream beyond one and a half times its limit.
+EXTRA_REQUESTS = 5
 CALLS = 60
 
 
-def _limited(per_s):
+def _answer_with_limit(per_s):
     def script(connection, request):
         connection.answer(request, Server_Limit=per_s)
 
     return script
 
 
-def _limited_stream(connection, request):
+def _stream_with_limit(connection, request):
     stream(connection, request, Server_Limit='2')
 
 
-def _ask_at_once(gateway, text):
-    """Send all calls together; return their statuses and headers."""
+def _send_concurrently(gateway, text):
+    """Send all calls concurrently; return their statuses and headers."""
     with ThreadPoolExecutor(CALLS) as pool:
         found = list(pool.map(lambda _call: gateway.ask(text), range(CALLS)))
     return [(status, headers) for status, headers, _body in found]
 
 
-def _allowed(per_s, seconds):
-    return 1.5 * per_s * seconds + EXTRA
+def _max_requests(per_s, seconds):
+    return 1.5 * per_s * seconds + EXTRA_REQUESTS
 
 
 @pytest.mark.parametrize('service', ['plain', 'model'])
-def test_an_upstream_gets_no_more_than_it_named(gateway, service):
-    # An upstream in need names two requests a second. It was sent every call
-    # that came, some hundred a second, and fell over.
-    text, script = (GET, _limited('2'))
+def test_an_upstream_gets_no_more_requests_than_its_limit(gateway, service):
+    # An overloaded upstream states a limit of two requests per second. Without
+    # the limit it was sent every call, about a hundred per second, and crashed.
+    text, script = (GET, _answer_with_limit('2'))
     if service == 'model':
-        text, script = STREAM, _limited_stream
+        text, script = STREAM, _stream_with_limit
     upstream = gateway.add(script, service)
     gateway.ask(text)
-    began = time.monotonic()
-    answers = _ask_at_once(gateway, text)
-    took = time.monotonic() - began
-    assert len(upstream.requests) - 1 <= _allowed(2, took)
-    # Whose answer would be late is refused at once and told when to come.
+    started_at = time.monotonic()
+    answers = _send_concurrently(gateway, text)
+    elapsed_s = time.monotonic() - started_at
+    assert len(upstream.requests) - 1 <= _max_requests(2, elapsed_s)
+    # A call that would miss its deadline is refused at once with a
+    # `Retry-After`.
     refused = [headers for status, headers in answers if status == 503]
     assert len(refused) == CALLS - len(upstream.requests) + 1
     assert all(float(each['Retry-After']) > 0 for each in refused)
 
 
-def test_what_does_not_fit_goes_to_another_upstream(gateway):
-    limited = gateway.add(_limited('0.5'))
+def test_requests_over_the_limit_go_to_another_upstream(gateway):
+    limited = gateway.add(_answer_with_limit('0.5'))
     free = gateway.add(answer)
     statuses = [gateway.ask(GET)[0] for _call in range(CALLS)]
     assert statuses == [200] * CALLS
-    assert len(limited.requests) <= _allowed(0.5, 1)
+    assert len(limited.requests) <= _max_requests(0.5, 1)
     assert len(free.requests) >= CALLS - len(limited.requests)
 
 
-def test_a_call_waits_for_its_turn_if_it_is_still_in_time(gateway):
-    # Twenty a second, and calls one after the other: none has to wait for
-    # longer than a twentieth of a second, and all are answered.
-    gateway.add(_limited('20'))
+def test_a_call_waits_for_the_limit_if_its_deadline_allows(gateway):
+    # The limit is twenty per second and the calls come one after the other. No
+    # call waits longer than a twentieth of a second, and all succeed.
+    gateway.add(_answer_with_limit('20'))
     assert [gateway.ask(GET)[0] for _call in range(CALLS)] == [200] * CALLS
 
 
-@pytest.mark.parametrize('named', ['', '-1', 'nan', 'many', '1e3'])
-def test_an_answer_without_a_number_names_no_limit(gateway, named):
-    # The first answer names a limit, those after it none that can be read.
+@pytest.mark.parametrize('header', ['', '-1', 'nan', 'many', '1e3'])
+def test_a_malformed_limit_removes_the_limit(gateway, header):
+    # The first response states a limit, the later ones a malformed one.
     def script(connection, request):
         first = len(upstream.requests) == 1
-        connection.answer(request, Server_Limit='1' if first else named)
+        connection.answer(request, Server_Limit='1' if first else header)
 
     upstream = gateway.add(script)
     gateway.ask(GET)
@@ -83,9 +84,9 @@
     assert [gateway.ask(GET)[0] for _call in range(CALLS)] == [200] * CALLS
 
 
-def test_a_limit_of_nothing_leaves_a_request_now_and_then(gateway):
-    # Without any, nobody would hear that the upstream is well again.
-    upstream = gateway.add(_limited('0'))
+def test_a_limit_of_zero_still_lets_some_requests_through(gateway):
+    # Without any request, no response could tell that the upstream recovered.
+    upstream = gateway.add(_answer_with_limit('0'))
     gateway.ask(GET)
-    _ask_at_once(gateway, GET)
-    assert 1 <= len(upstream.requests) <= _allowed(0, 1)
+    _send_concurrently(gateway, GET)
+    assert 1 <= len(upstream.requests) <= _max_requests(0, 1)
