--- a/linnetwind/platform/gateway_feeds_test.py
+++ b/linnetwind/platform/gateway_feeds_test.py
@@ -1,7 +1,7 @@
-"""Tests of following lists into which others write as well.
+"""Tests of following topics to which other writers append bad records.
 
-A bad entry must not hide the good ones, neither those beside it nor those
-after it, and both ways to read a list must lead to the same upstreams.
+A bad entry must not hide the good entries before or after it. Reading the
+newest records and reading record by record must lead to the same upstreams.
 """
 
 import json
@@ -50,7 +50,7 @@
 
 
 class _Store:
-    """A store; `seen` says how many records of each topic are there yet."""
+    """A store in which the first `seen` records of each topic are visible."""
 
     def __init__(self, upstreams=(), tables=()):
         self._records = {
@@ -67,7 +67,7 @@
     def newest(self, topic):
         if self.is_down:
             return StoreUnavailable('down')
-        newest = {each.key: each for each in self._there(topic)}
+        newest = {each.key: each for each in self._visible_records(topic)}
         kept = (each for each in newest.values() if each.content is not None)
         return Records(tuple(kept), self.seen[topic])
 
@@ -77,26 +77,28 @@
         if self.trimmed:
             self.trimmed = False
             return Trimmed()
-        return Records(tuple(self._there(topic)[start:]), self.seen[topic])
+        return Records(
+            tuple(self._visible_records(topic)[start:]), self.seen[topic]
+        )
 
-    def _there(self, topic):
+    def _visible_records(self, topic):
         return self._records[topic][: self.seen[topic]]
 
 
 class _Peers:
-    """Neighbours, who have read the same store; none if it is None."""
+    """Peers that have read the given store; no peer if it is None."""
 
-    def __init__(self, read):
-        self._read = read
+    def __init__(self, peer_store):
+        self._peer_store = peer_store
 
     def newest(self, topic):
-        if self._read is None:
+        if self._peer_store is None:
             return StoreUnavailable('nobody')
-        return self._read.newest(topic)
+        return self._peer_store.newest(topic)
 
 
 class _Rounds:
-    """Takes the place of the daemon's threads."""
+    """Collects the functions that the daemon's threads would repeat."""
 
     def __init__(self):
         self.work = {}
@@ -106,9 +108,9 @@
 
 
 class _Reader:
-    """A daemon's feeds, one round at a time."""
+    """The feeds of a daemon, run one round at a time."""
 
-    def __init__(self, store, read_by_peers=None):
+    def __init__(self, store, peer_store=None):
         clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
         self.log = ListLog()
@@ -117,7 +119,7 @@
             lambda: store, CONFIGURATION_KEY, decode_table, decode_upstream
         )
         self._feeds = GatewayFeeds(
-            ports, self.state, _Peers(read_by_peers), clock, self.log
+            ports, self.state, _Peers(peer_store), clock, self.log
         )
         self.rounds = _Rounds()
         self._feeds.start(self.rounds)
@@ -130,28 +132,28 @@
         return sorted(each.instance for each in found)
 
 
-def _told(version, counter):
-    """Return the state of a peer with a version of the configuration."""
+def _make_peer_state(version, counter):
+    """Return the state of a peer that has a version of the configuration."""
     return make_peer('b', config_version=version, counter=counter)
 
 
-def test_a_configuration_comes_from_peers_while_the_store_is_silent():
-    # The connection to the store has gone silent, without a reset. A peer
-    # has the next configuration and says so; callers with new keys would be
-    # refused until the silence shows.
+def test_a_peer_provides_the_configuration_if_the_store_hangs():
+    # The connection to the store hangs without a reset. A peer advertises that
+    # it has the next configuration. If this daemon did not fetch it, callers
+    # with new keys would be refused until the connection times out.
     tables = [configuration(each, 'plain') for each in (1, 2)]
     store = _Store(tables=tables)
     store.seen[Topic.CONFIGURATION] = 1
     reader = _Reader(store, _Store(tables=tables))
     reader.read(Topic.CONFIGURATION)
-    behind = reader.rounds.work['configuration-behind']
-    behind()
+    catch_up = reader.rounds.work['configuration-behind']
+    catch_up()
     assert reader.state.table.version == 1
     for counter in (1, 2):
-        reader.state.hear(_told(2, counter))
-        behind()
+        reader.state.hear(_make_peer_state(2, counter))
+        catch_up()
     assert reader.state.table.version == 2
-    # Read from the store later, it changes nothing any more.
+    # The same version, read from the store later, is not applied again.
     store.seen[Topic.CONFIGURATION] = 2
     reader.read(Topic.CONFIGURATION)
     applied = [
@@ -179,26 +181,26 @@
 
 
 @pytest.mark.parametrize('content', [b'\xff', b'{"a":' * 5000, b'{}'])
-def test_a_bad_entry_hides_no_good_one_beside_or_after_it(content):
-    # Somebody else writes an entry between those of two upstreams. A daemon
-    # that fails at it reads the same place again and again: no upstream is
-    # used any more, and callers are refused while all upstreams are free.
+def test_a_bad_entry_does_not_hide_the_good_entries_around_it(content):
+    # Another writer appends an entry between those of two upstreams. A daemon
+    # that fails to decode it would read the same offset again and again. It
+    # would use no upstream and refuse callers while all upstreams are idle.
     store = _Store([('a', 'good'), ('x', content), ('b', 'good')])
-    whole = _Reader(store)
-    whole.read()
-    assert whole.usable() == ['a', 'b']
+    at_once = _Reader(store)
+    at_once.read()
+    assert at_once.usable() == ['a', 'b']
     store.seen[Topic.UPSTREAMS] = 1
-    by_parts = _Reader(store)
-    by_parts.read()
+    in_steps = _Reader(store)
+    in_steps.read()
     store.seen[Topic.UPSTREAMS] = 3
-    by_parts.read()
-    assert by_parts.usable() == ['a', 'b']
+    in_steps.read()
+    assert in_steps.usable() == ['a', 'b']
 
 
-def test_a_bad_entry_in_place_of_a_good_one_names_no_upstream():
-    # Whoever reads the whole list sees the bad entry alone; whoever has read
-    # the good one before must come to the same list. Both use the upstream
-    # again as soon as a good entry follows.
+def test_a_bad_entry_removes_the_upstream_of_its_key():
+    # A daemon that reads the newest records sees only the bad entry. A daemon
+    # that read the good entry before must end with the same upstreams. Both use
+    # the upstream again as soon as a good entry follows.
     store = _Store([('a', 'good'), ('a', b'{}'), ('a', 'good')])
     store.seen[Topic.UPSTREAMS] = 1
     reader = _Reader(store)
@@ -214,9 +216,9 @@
     assert reader.usable() == ['a']
 
 
-def test_a_copy_of_a_neighbour_is_read_in_the_same_way():
-    # The store turns this daemon away, and a neighbour hands on what it has
-    # read, as it was written.
+def test_the_copy_of_a_peer_is_decoded_like_the_store():
+    # The store rejects this daemon's calls, and a peer passes on the records
+    # that it has read, unchanged.
     read = _Store([('a', 'good'), ('b', 'good'), ('a', b'{}'), ('c', b'[')])
     store = _Store()
     store.is_down = True
@@ -226,9 +228,9 @@
     assert [each.key for each in reader.log.of(BadRecord)] == ['a', 'c']
 
 
-def test_a_bad_entry_is_logged_once_a_change():
-    # Whole lists are read again after each outage of the store; a line for
-    # each reading would bury the others.
+def test_a_bad_entry_is_logged_once_per_change():
+    # The newest records are read again after each outage of the store. One line
+    # for each reading would flood the log.
     store = _Store([('a', b'{}'), ('b', 'good'), ('a', b'{}')])
     store.seen[Topic.UPSTREAMS] = 1
     reader = _Reader(store)
@@ -244,9 +246,10 @@
     ]
 
 
-def test_a_bad_entry_that_an_outage_brings_is_no_lapsed_one():
-    # The entry of an upstream is missing after an outage: it may come back.
-    # An entry that is there and bad names no upstream, with or without one.
+def test_a_bad_entry_after_an_outage_removes_the_upstream():
+    # An upstream whose entry is missing after an outage stays in use for a while,
+    # since the entry may return. A bad entry removes its upstream at once, with
+    # or without an outage.
     store = _Store([('a', 'good'), ('a', b'{}')])
     store.seen[Topic.UPSTREAMS] = 1
     reader = _Reader(store)
@@ -260,13 +263,13 @@
 
 
 def test_an_entry_of_an_unknown_service_hides_no_upstream_at_its_address():
-    # Another writer names the address of an upstream, and a service that no
-    # configuration names. The newest entry of an address counts alone; were
-    # this one counted, the upstream would get no requests any more. A later
-    # configuration may name the service: the entry then counts.
-    other = json.dumps(_entry('a', service='other')).encode()
+    # Another writer appends an entry with the address of an upstream and a
+    # service that the configuration lacks. Only the newest entry of an address
+    # counts. If this entry counted, the upstream would get no more requests. It
+    # counts once a later configuration contains its service.
+    other_entry = json.dumps(_entry('a', service='other')).encode()
     store = _Store(
-        [('a', 'good'), ('b', other)],
+        [('a', 'good'), ('b', other_entry)],
         [configuration(1, 'plain'), configuration(2, 'plain', 'other')],
     )
     store.seen[Topic.CONFIGURATION] = 1
@@ -279,7 +282,7 @@
     assert (reader.usable(), reader.usable('other')) == ([], ['b'])
 
 
-def test_a_bad_configuration_leaves_the_one_before_in_force():
+def test_a_bad_configuration_leaves_the_previous_one_in_force():
     store = _Store(
         tables=[
             configuration(1, 'plain'),
--- a/linnetwind/platform/gateway_limits_test.py
+++ b/linnetwind/platform/gateway_limits_test.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize('service', ['plain', 'model'])
 def test_an_upstream_gets_no_more_requests_than_its_limit(gateway, service):
     # An overloaded upstream states a limit of two requests per second. Without
-    # the limit it was sent every call, about a hundred per second, and crashed.
+    # the limit it was sent every call, some hundred per second, and crashed.
     text, script = (GET, _answer_with_limit('2'))
     if service == 'model':
         text, script = STREAM, _stream_with_limit
--- a/linnetwind/platform/gateway_streams_test.py
+++ b/linnetwind/platform/gateway_streams_test.py
@@ -11,7 +11,7 @@
 EVENTS = [f'id: {number}\ndata: {number}\n\n' for number in range(1, 6)]
 
 
-def _answer(connection, request):
+def _respond(connection, request):
     connection.answer(request)
 
 
@@ -26,28 +26,28 @@
         connection.send('0\r\n\r\n')
 
 
-def test_a_stream_is_passed_on_whole(gateway):
+def test_a_stream_is_relayed_completely(gateway):
     gateway.add(_stream, 'model')
     status, _headers, body = gateway.ask(STREAM)
     assert (status, body) == (200, ''.join(EVENTS).encode())
 
 
-def test_events_are_passed_on_as_they_come(gateway):
-    def one(connection, request):
+def test_events_are_relayed_as_they_arrive(gateway):
+    def send_one_event(connection, request):
         _stream(connection, request, EVENTS[:1], end=False)
         connection.wait_for_end()
 
-    upstream = gateway.add(one, 'model')
+    upstream = gateway.add(send_one_event, 'model')
     sock = gateway.call(STREAM)
-    seen = b''
-    while EVENTS[0].encode() not in seen:
-        seen += sock.recv(4096)
+    received = b''
+    while EVENTS[0].encode() not in received:
+        received += sock.recv(4096)
     assert not upstream.left.is_set()
     sock.close()
     assert upstream.left.wait(10)
 
 
-def test_a_caller_that_leaves_before_the_first_event_cancels(gateway):
+def test_a_disconnect_before_the_first_event_cancels_the_request(gateway):
     def silent(connection, request):
         connection.wait_for_end()
 
@@ -59,9 +59,9 @@
     assert upstream.left.wait(10)
 
 
-def test_a_cut_stream_is_resumed_within_the_answer(gateway):
-    # The first upstream stops in the middle of the third event. The caller
-    # sees one answer with each event once, in order.
+def test_a_cut_stream_is_resumed_within_the_same_response(gateway):
+    # The first upstream resets in the middle of the third event. The caller
+    # receives one response that contains each event once, in order.
     def cut(connection, request):
         events = [*EVENTS[:2], EVENTS[2][:8]]
         _stream(connection, request, events, end=False)
@@ -69,23 +69,23 @@
 
     gateway.add(cut, 'model')
     gateway.add(cut, 'model')
-    whole = gateway.add(_stream, 'model')
+    resuming_upstream = gateway.add(_stream, 'model')
     bodies = []
-    while not whole.requests:
+    while not resuming_upstream.requests:
         try:
             bodies.append(gateway.ask(STREAM)[2])
         except HTTPException:
             continue
     assert bodies[-1] == ''.join(EVENTS).encode()
     resumed = [each for each in gateway.log.of(AttemptFailed)]
-    if resumed and whole.requests[0].headers.get('last-event-id'):
-        assert whole.requests[0].headers['last-event-id'] == '2'
+    if resumed and resuming_upstream.requests[0].headers.get('last-event-id'):
+        assert resuming_upstream.requests[0].headers['last-event-id'] == '2'
 
 
 @pytest.mark.parametrize('ending', ['reset', 'clean end in an event'])
-def test_a_stream_that_cannot_be_resumed_looks_broken(gateway, ending):
-    # Two events have reached the caller when the upstream breaks. Ended
-    # cleanly, the answer would look complete.
+def test_a_cut_stream_that_is_not_resumable_ends_abnormally(gateway, ending):
+    # The upstream fails after two events have reached the caller. If the
+    # gateway ended the response cleanly, it would look complete.
     def cut(connection, request):
         events = [*EVENTS[:2], EVENTS[2][:8]]
         _stream(connection, request, events, end=ending != 'reset')
@@ -96,10 +96,11 @@
     assert gateway.log.first(RequestEnded).outcome == 'cut'
 
 
-def test_a_stream_whose_second_run_fails_looks_broken(gateway):
-    # One event has reached the caller when the upstream breaks, and the
-    # upstream at which the stream is to go on answers 500. A second head in
-    # the middle of the body must not be written, and the daemon goes on.
+def test_a_stream_whose_resumption_fails_ends_abnormally(gateway):
+    # The upstream fails after one event has reached the caller, and the
+    # upstream that should resume the stream responds with 500. The gateway
+    # must not write a second response head into the body, and must keep
+    # running.
     def cut_or_fail(connection, request):
         if request.headers.get('last-event-id'):
             connection.answer(request, 'failed', 500)
@@ -116,17 +117,17 @@
     assert any('failed with 500' in reason for reason in reasons)
 
 
-def test_a_draining_daemon_says_so_with_streams_too(gateway):
-    # A caller that is not told goes on over its kept connection until the
-    # daemon ends.
+def test_a_draining_daemon_sends_connection_close_with_streams(gateway):
+    # Without this header, the caller reuses its persistent connection until the
+    # daemon exits.
     gateway.add(_stream, 'model')
     gateway.stop.begin()
     _status, headers, _body = gateway.ask(STREAM)
     assert headers['Connection'] == 'close'
 
 
-def test_a_draining_daemon_closes_after_the_answer(gateway):
-    gateway.add(_answer)
+def test_a_draining_daemon_sends_connection_close_with_responses(gateway):
+    gateway.add(_respond)
     gateway.stop.begin()
     sock = gateway.call(GET)
     assert read_answer(sock)[1]['Connection'] == 'close'
--- a/linnetwind/platform/gateway_test.py
+++ b/linnetwind/platform/gateway_test.py
@@ -11,26 +11,26 @@
 from standins.gateway_requests import GET, ONCE, SHORT
 
 
-def _answer(connection, request):
+def _respond(connection, request):
     connection.answer(request)
 
 
-def test_a_request_arrives_as_it_was_sent(gateway):
-    upstream = gateway.add(_answer)
+def test_a_request_is_forwarded_with_the_platform_headers(gateway):
+    upstream = gateway.add(_respond)
     status, headers, body = gateway.ask(GET)
     assert (status, body) == (200, b'answer')
     assert headers['Response-Seal'] == 'seal'
-    seen = upstream.requests[0]
-    assert (seen.method, seen.target) == ('GET', '/x/1?q=%2f')
-    assert seen.headers['x-other'] == 'kept'
-    assert seen.headers['tenant'] == 'customer'
-    assert seen.headers['expect-instance'] == 'i-0'
-    assert 0 < int(seen.headers['deadline-ms']) <= 3000
-    assert 'authorization' not in seen.headers
+    received = upstream.requests[0]
+    assert (received.method, received.target) == ('GET', '/x/1?q=%2f')
+    assert received.headers['x-other'] == 'kept'
+    assert received.headers['tenant'] == 'customer'
+    assert received.headers['expect-instance'] == 'i-0'
+    assert 0 < int(received.headers['deadline-ms']) <= 3000
+    assert 'authorization' not in received.headers
 
 
-def test_a_caller_cannot_name_its_own_customer(gateway):
-    upstream = gateway.add(_answer)
+def test_a_caller_cannot_set_its_own_customer(gateway):
+    upstream = gateway.add(_respond)
     text = GET.replace('/x/', '/open/').replace(
         'Authorization: Bearer good', 'Tenant: other'
     )
@@ -54,25 +54,24 @@
         ('POST /x/ HTTP/1.1\nHost: a\nContent-Length: x', 400),
     ],
 )
-def test_what_cannot_be_served_is_refused_and_reaches_nobody(
-    gateway, text, status
-):
-    upstream = gateway.add(_answer)
+def test_an_invalid_request_is_refused_and_not_forwarded(gateway, text, status):
+    upstream = gateway.add(_respond)
     assert gateway.ask(text)[0] == status
     assert upstream.requests == []
 
 
-def test_a_body_that_is_too_long_is_refused(gateway):
-    upstream = gateway.add(_answer)
+def test_an_oversized_body_is_refused(gateway):
+    upstream = gateway.add(_respond)
     text = f'POST /x/ HTTP/1.1\nHost: a.example\nContent-Length: {10**6}'
     assert gateway.ask(text, b'x' * 70_000)[0] == 413
     assert upstream.requests == []
 
 
-def test_a_request_within_a_body_is_not_run(gateway):
-    # Both framings are given. A gateway that passes both on lets the upstream
-    # read the body as a second request, which nobody has checked.
-    upstream = gateway.add(_answer)
+def test_a_request_smuggled_in_a_body_is_not_run(gateway):
+    # The request has both a `Content-Length` and a chunked body. If the gateway
+    # forwarded both headers, the upstream could read the body as a second
+    # request, which the gateway has not authorized.
+    upstream = gateway.add(_respond)
     inner = b'GET /x/2 HTTP/1.1\r\nHost: a.example\r\n\r\n'
     body = b'%x\r\n%s\r\n0\r\n\r\n' % (len(inner), inner)
     text = GET.replace('GET', 'POST') + (
@@ -87,9 +86,9 @@
     assert all(each.body == inner for each in upstream.requests)
 
 
-def test_without_a_configuration_nothing_is_said_to_be_missing():
-    # A daemon that has just started knows no routes and keys. 404 or 401
-    # would be false; the caller is told to come back.
+def test_without_a_configuration_the_caller_is_told_to_retry():
+    # A daemon that has just started knows no routes and keys, so 404 or 401
+    # would be wrong. It responds with 503 and a `Retry-After`.
     harness = GatewayHarness(PlatformDialect(), None)
     harness._limits = lambda: make_table().limits
     status, headers, _body = harness.ask(GET)
@@ -98,23 +97,23 @@
     harness.close()
 
 
-def _cut(connection, request):
+def _cut_body(connection, request):
     connection.answer(request, 'half', Content_Length='8')
 
 
-def _reset(connection, request):
+def _reset_connection(connection, request):
     connection.reset()
 
 
-def _garbage(connection, request):
+def _send_garbage(connection, request):
     connection.send('no answer\r\n\r\n')
 
 
-def _unsigned(connection, request):
+def _respond_unsigned(connection, request):
     connection.answer(request, Response_Seal='')
 
 
-def _foreign(connection, request):
+def _respond_to_other_attempt(connection, request):
     connection.answer(request, Attempt_Id='call-0')
 
 
@@ -124,16 +123,24 @@
     connection.reset()
 
 
-BROKEN = [_cut, _reset, _garbage, _unsigned, _foreign, _reset_without_length]
+FAILING_SCRIPTS = [
+    _cut_body,
+    _reset_connection,
+    _send_garbage,
+    _respond_unsigned,
+    _respond_to_other_attempt,
+    _reset_without_length,
+]
 
 
-@pytest.mark.parametrize('script', BROKEN)
-def test_a_broken_answer_is_replaced_by_another_upstreams(gateway, script):
-    # The first upstream runs the request and breaks its answer in some way;
-    # the caller gets the whole answer of the second one.
+@pytest.mark.parametrize('script', FAILING_SCRIPTS)
+def test_a_failed_attempt_is_retried_at_another_upstream(gateway, script):
+    # The first upstream runs the request, but its response fails in some way.
+    # The caller gets the complete response of the second upstream.
     bad = gateway.add(script)
-    gateway.add(_answer)
-    # Equal upstreams are taken at random; asked until the bad one was first.
+    gateway.add(_respond)
+    # The gateway picks one of two equal upstreams at random. Requests are sent
+    # until it has picked the failing one.
     for _try in range(200):
         status, _headers, body = gateway.ask(GET)
         assert (status, body) == (200, b'answer')
@@ -142,21 +149,21 @@
     assert bad.requests
 
 
-@pytest.mark.parametrize('script', BROKEN)
-def test_an_upstream_that_fails_at_once_does_not_draw_requests(gateway, script):
-    # Two upstreams break every answer, and quickly; the third is sound. Taken
-    # for quick ones, the two would get every request.
+@pytest.mark.parametrize('script', FAILING_SCRIPTS)
+def test_upstreams_that_fail_fast_do_not_attract_requests(gateway, script):
+    # Two upstreams fail every request quickly; the third is healthy. If their
+    # short response times counted, the two would get every request.
     for _upstream in range(2):
         gateway.add(script)
     assert gateway.ask(GET)[0] == 502
-    gateway.add(_answer)
+    gateway.add(_respond)
     assert [gateway.ask(GET)[0] for _try in range(5)] == [200] * 5
 
 
-@pytest.mark.parametrize('script', BROKEN)
-def test_what_must_run_once_is_not_repeated(gateway, script):
-    # The upstream ran the request, and its answer broke. A second run would
-    # send a pairing code twice; "not run" would make the caller do it.
+@pytest.mark.parametrize('script', FAILING_SCRIPTS)
+def test_a_request_that_must_run_once_is_not_retried(gateway, script):
+    # The upstream ran the request and its response failed. A retry would send a
+    # pairing code twice, and so would the caller if it were told "not run".
     upstreams = [gateway.add(script) for _upstream in range(3)]
     status, headers, _body = gateway.ask(ONCE)
     assert status == 502
@@ -168,7 +175,7 @@
     connection.answer(request, '', 503, Not_Executed='1', Response_Seal='')
 
 
-def test_a_refusal_of_all_upstreams_says_not_run(gateway):
+def test_if_all_upstreams_refuse_the_caller_may_retry(gateway):
     upstreams = [gateway.add(_refuse) for _upstream in range(3)]
     status, headers, _body = gateway.ask(ONCE)
     assert status == 503
@@ -176,27 +183,27 @@
     assert sum(len(each.requests) for each in upstreams) == 2
 
 
-def test_an_upstream_that_is_not_there_costs_no_attempt(gateway):
+def test_an_unreachable_upstream_costs_no_attempt(gateway):
     with socket.create_server(('127.0.0.1', 0)) as closed:
         port = closed.getsockname()[1]
-    gateway.add(_answer, port=port)
-    gateway.add(_answer)
+    gateway.add(_respond, port=port)
+    gateway.add(_respond)
     assert [gateway.ask(ONCE)[0] for _try in range(4)] == [200] * 4
 
 
-def test_another_instance_at_an_address_is_noted(gateway):
-    # The host was replaced and its address is used by another upstream. It
-    # says so once; nothing is sent there again for the former instance.
-    def other(connection, request):
+def test_a_replaced_instance_gets_no_more_requests(gateway):
+    # The host was replaced, and another upstream now uses its address. After
+    # one 421 response, the gateway sends nothing there for the former instance.
+    def misdirected(connection, request):
         connection.answer(request, '', 421, Instance_Id='i-other')
 
-    stale = gateway.add(other)
-    gateway.add(_answer)
+    stale = gateway.add(misdirected)
+    gateway.add(_respond)
     assert {gateway.ask(GET)[0] for _try in range(6)} == {200}
     assert len(stale.requests) <= 1
 
 
-def test_a_failure_of_the_upstream_itself_is_passed_on(gateway):
+def test_an_error_response_of_the_upstream_is_relayed(gateway):
     def fail(connection, request):
         connection.answer(request, 'why', 500)
 
@@ -206,12 +213,12 @@
     assert headers['Response-Seal'] == 'seal'
 
 
-def test_extra_bytes_after_an_answer_reach_nobody(gateway):
-    def extra(connection, request):
+def test_extra_bytes_after_a_response_are_discarded(gateway):
+    def respond_twice(connection, request):
         connection.answer(request)
         connection.answer(request, 'extra')
 
-    gateway.add(extra)
+    gateway.add(respond_twice)
     sock = gateway.call(GET)
     assert sock.recv(4096).endswith(b'answer')
     sock.sendall('\r\n'.join([*GET.splitlines(), '', '']).encode())
@@ -219,26 +226,26 @@
     sock.close()
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole(gateway):
-    def unframed(connection, request):
+def test_a_response_may_end_with_its_connection(gateway):
+    def respond_without_length(connection, request):
         connection.head(request)
         connection.send('until the end')
 
-    gateway.add(unframed)
+    gateway.add(respond_without_length)
     assert gateway.ask(GET)[2] == b'until the end'
 
 
-def test_an_answer_may_come_before_a_long_body_was_read(gateway):
-    upstream = gateway.add(_answer)
+def test_a_long_body_is_forwarded_completely(gateway):
+    upstream = gateway.add(_respond)
     body = b'x' * 60_000
     text = GET.replace('GET', 'POST') + f'Content-Length: {len(body)}\n'
     assert gateway.ask(text, body)[0] == 200
     assert upstream.requests[0].body == body
 
 
-def test_a_request_gets_its_final_answer_at_the_timeout(gateway):
-    # The upstream works longer than the route allows. The caller is told at
-    # the timeout, and not that the request has not run.
+def test_a_request_gets_its_final_response_at_the_timeout(gateway):
+    # The upstream takes longer than the route's timeout. At the timeout, the
+    # caller gets a 504 that does not claim that the request has not run.
     def silent(connection, request):
         connection.wait_for_end()
 
