--- a/linnetwind/platform/gateway_feeds_test.py
+++ b/linnetwind/platform/gateway_feeds_test.py
@@ -247,9 +247,9 @@
 
 
 def test_a_bad_entry_after_an_outage_removes_the_upstream():
-    # An upstream whose entry is missing after an outage stays in use for a while,
-    # since the entry may return. A bad entry removes its upstream at once, with
-    # or without an outage.
+    # An upstream whose entry is missing after an outage stays in use for a
+    # while, since the entry may return. A bad entry removes its upstream at
+    # once, with or without an outage.
     store = _Store([('a', 'good'), ('a', b'{}')])
     store.seen[Topic.UPSTREAMS] = 1
     reader = _Reader(store)
