--- a/linnetwind/gate.py
+++ b/linnetwind/gate.py
@@ -1,9 +1,10 @@
-"""Admission in front of one upstream, as a pure state machine.
+"""Admission control in front of one upstream, as a pure state machine.
 
-The gate starts calls up to the upstream's concurrency, queues the rest by
-priority while their deadline can be met, and refuses the others at once
-with the time at which a slot is expected to be free. It remembers which
-calls started, so that a question about a call's fate has a true answer.
+Calls start up to the concurrency limit of the upstream. Further calls wait
+in a priority queue if they can be expected to meet their deadlines; all
+others are refused at once, with the time at which a slot should be free.
+The gate records which calls have started, so that an entry daemon that lost
+its connection can query whether a call ran.
 """
 
 import heapq
@@ -14,28 +15,29 @@
 from linnetwind.clock import Clock
 from linnetwind.outcome import Reason
 
-# A fate is asked for within seconds of a lost connection. A late frame of a
-# barred call is at most as old as the host's socket buffers; two minutes
-# are far beyond both, and bound the memory.
-FATE_MEMORY = timedelta(minutes=2)
+# An entry daemon queries the status of a call within seconds of losing its
+# connection, and the frame of a barred call can arrive only as late as the
+# socket buffers of the host hold it. Two minutes are far beyond both, and
+# bound the memory for statuses.
+STATUS_RETENTION = timedelta(minutes=2)
 
 _SMOOTHING = 0.2
-_MARGIN = 2
-_FIRST_GUESS = timedelta(seconds=0.5)
-_SHORTEST_RETRY = timedelta(milliseconds=100)
-_LEAVING_RETRY = timedelta(seconds=1)
+_SERVICE_TIMES_NEEDED = 2
+_INITIAL_SERVICE_TIME = timedelta(seconds=0.5)
+_MIN_RETRY_AFTER = timedelta(milliseconds=100)
+_LEAVING_RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Run this call now."""
+    """Decision to run a call now."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Refuse this call; it has not run and will not."""
+    """Decision to refuse a call, which has not run and never will."""
 
     call_id: str
     reason: Reason
@@ -46,7 +48,7 @@
 
 
 @dataclass(order=True, slots=True)
-class _Waiting:
+class _QueuedCall:
     priority: int
     arrival: int
     call_id: str = field(compare=False)
@@ -54,28 +56,28 @@
 
 
 class Gate:
-    """The calls at one upstream: waiting, running, and how they went."""
+    """The queued and running calls of one upstream, and their statuses."""
 
     def __init__(self, concurrency: int, clock: Clock) -> None:
-        """Start empty.
+        """Create a gate without calls.
 
         Args:
-          concurrency: How many calls the upstream serves at once.
-          clock: For deadlines.
+          concurrency: The number of calls that the upstream serves at once.
+          clock: The clock for deadlines and retention times.
         """
         self.concurrency = concurrency
         self._clock = clock
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedCall] = []
         self._running: set[str] = set()
-        self._fates: dict[str, tuple[bool, timedelta]] = {}
+        self._statuses: dict[str, tuple[bool, timedelta]] = {}
         self._arrivals = 0
-        self._service = _FIRST_GUESS
+        self._service_time = _INITIAL_SERVICE_TIME
         self._leaving = False
         self._backoff_ends = timedelta()
 
     @property
     def running(self) -> int:
-        """Return the number of calls running."""
+        """Return the number of running calls."""
         return len(self._running)
 
     @property
@@ -85,86 +87,91 @@
 
     @property
     def service_time(self) -> timedelta:
-        """Return the smoothed time that one call takes."""
-        return self._service
+        """Return the moving average of the time that a call runs."""
+        return self._service_time
 
     @property
     def leaving(self) -> bool:
-        """Return whether new calls are refused because of a drain."""
+        """Return whether new calls are refused because of draining."""
         return self._leaving
 
     def offer(
         self, call_id: str, priority: int, timeout: timedelta
     ) -> tuple[Action, ...]:
-        """Take a new call.
+        """Start, queue or refuse a new call.
 
         Args:
-          call_id: The call.
-          priority: 0 is served first.
-          timeout: What is left until the caller's deadline.
+          call_id: The ID of the call.
+          priority: The priority; 0 is served first.
+          timeout: The time left until the deadline of the caller.
 
         Returns:
-          What to do now; nothing if the call waits.
+          The decision on the call; empty if the call was queued.
         """
-        if call_id in self._fates:
-            # A frame that was delivered twice, or that arrives after its
-            # fate was asked for: starting it would run it twice, or after
-            # the caller was told that it did not run.
-            return (Refuse(call_id, Reason.BARRED, _SHORTEST_RETRY),)
+        if call_id in self._statuses:
+            # The frame is a duplicate, or it arrives after the status of
+            # its call was queried. Starting the call now would run it twice,
+            # or run it after the caller was informed that it did not run.
+            return (Refuse(call_id, Reason.BARRED, _MIN_RETRY_AFTER),)
         if self._leaving:
-            return (self._refuse(call_id, Reason.LEAVING, _LEAVING_RETRY),)
+            return (
+                self._refuse(call_id, Reason.LEAVING, _LEAVING_RETRY_AFTER),
+            )
         backoff = self._backoff_ends - self._clock.elapsed()
         if backoff > timedelta():
             return (self._refuse(call_id, Reason.OVERLOADED, backoff),)
         if self.running < self.concurrency and not self._queue:
             return (self._start(call_id),)
         wait = self._expected_wait(priority)
-        # Half of those that start just before their deadline would miss it,
-        # and the work spent on them is lost to calls that could make it.
-        if wait + self._service * _MARGIN > timeout:
+        # About half of the calls that start one service time before their
+        # deadline miss it, and the upstream wastes work on them that other
+        # calls could use. Hence the margin of another service time.
+        if wait + self._service_time * _SERVICE_TIMES_NEEDED > timeout:
             return (self._refuse(call_id, Reason.OVERLOADED, wait),)
         self._arrivals += 1
         deadline = self._clock.elapsed() + timeout
         heapq.heappush(
             self._queue,
-            _Waiting(priority, self._arrivals, call_id, deadline),
+            _QueuedCall(priority, self._arrivals, call_id, deadline),
         )
         return ()
 
     def finish(
-        self, call_id: str, took: timedelta | None
+        self, call_id: str, duration: timedelta | None
     ) -> tuple[Action, ...]:
-        """Take note that a call ended, and start waiting ones.
+        """Record the end of a call, and start queued calls.
 
         Args:
-          call_id: The call.
-          took: Its time at the upstream, or None if that says nothing.
+          call_id: The ID of the call.
+          duration: The time that the call took at the upstream, or None if
+            the call was incomplete and its time is not representative.
 
         Returns:
-          What to do now.
+          The decisions on queued calls.
         """
         self._running.discard(call_id)
-        # Remembered from its end: a call that ran for longer than fates are
-        # kept would otherwise be denied as soon as it is over.
-        self._fates.pop(call_id, None)
-        self._remember(call_id, started=True)
-        if took is not None:
-            self._service += (took - self._service) * _SMOOTHING
-        return tuple(self._fill())
+        # The retention time counts from the end of the call: otherwise a
+        # call that ran for longer than it would be reported as not started
+        # as soon as it ended.
+        self._statuses.pop(call_id, None)
+        self._record_status(call_id, started=True)
+        if duration is not None:
+            self._service_time += (duration - self._service_time) * _SMOOTHING
+        return tuple(self._start_queued())
 
     def withdraw(self, call_id: str) -> bool:
-        """Bar a call from starting, and tell whether it has started.
+        """Bar a call from starting unless it has started already.
 
         Args:
-          call_id: The call.
+          call_id: The ID of the call.
 
         Returns:
-          True if it has started; else it never will.
+          True if the call has started; if False, it never will.
         """
-        known = self._fates.get(call_id)
-        if known is not None:
-            return known[0]
-        self._remember(call_id, started=False)
+        status = self._statuses.get(call_id)
+        if status is not None:
+            return status[0]
+        self._record_status(call_id, started=False)
         self._queue = [
             waiting for waiting in self._queue if waiting.call_id != call_id
         ]
@@ -172,50 +179,51 @@
         return False
 
     def expire(self) -> tuple[Action, ...]:
-        """Refuse the waiting calls whose deadline has passed.
+        """Refuse the queued calls whose deadline has passed.
 
         Returns:
-          A refusal for each.
+          A refusal for each of these calls.
         """
         now = self._clock.elapsed()
-        late = [each for each in self._queue if each.deadline <= now]
-        if not late:
+        expired = [each for each in self._queue if each.deadline <= now]
+        if not expired:
             return ()
         self._queue = [each for each in self._queue if each.deadline > now]
         heapq.heapify(self._queue)
         wait = self._expected_wait(0)
         return tuple(
-            self._refuse(each.call_id, Reason.DEADLINE, wait) for each in late
+            self._refuse(each.call_id, Reason.DEADLINE, wait)
+            for each in expired
         )
 
-    def leave(self) -> tuple[Action, ...]:
-        """Refuse new and waiting calls from now on; running ones go on.
+    def stop_accepting(self) -> tuple[Action, ...]:
+        """Refuse queued calls and all new ones; running calls continue.
 
         Returns:
-          A refusal for each waiting call.
+          A refusal for each queued call.
         """
         self._leaving = True
-        return self._refuse_waiting(Reason.LEAVING, _LEAVING_RETRY)
+        return self._refuse_queued(Reason.LEAVING, _LEAVING_RETRY_AFTER)
 
-    def come_back(self) -> None:
-        """Take new calls again."""
+    def resume_accepting(self) -> None:
+        """Accept new calls again after `stop_accepting`."""
         self._leaving = False
 
-    def back_off(self, wanted: timedelta) -> tuple[Action, ...]:
-        """Refuse new and waiting calls for a time that the upstream named.
+    def back_off(self, requested: timedelta) -> tuple[Action, ...]:
+        """Refuse queued and new calls for a time requested by the upstream.
 
         Args:
-          wanted: How long it wants no calls.
+          requested: The time for which the upstream requests no calls.
 
         Returns:
-          A refusal for each waiting call.
+          A refusal for each queued call.
         """
         now = self._clock.elapsed()
-        self._backoff_ends = max(self._backoff_ends, now + wanted)
+        self._backoff_ends = max(self._backoff_ends, now + requested)
         left = self._backoff_ends - now
-        return self._refuse_waiting(Reason.OVERLOADED, left)
+        return self._refuse_queued(Reason.OVERLOADED, left)
 
-    def _refuse_waiting(
+    def _refuse_queued(
         self, reason: Reason, retry_after: timedelta
     ) -> tuple[Action, ...]:
         waiting = self._queue
@@ -225,43 +233,46 @@
             for each in sorted(waiting)
         )
 
-    def _fill(self) -> Iterator[Action]:
+    def _start_queued(self) -> Iterator[Action]:
         now = self._clock.elapsed()
         while self._queue and self.running < self.concurrency:
             waiting = heapq.heappop(self._queue)
-            if waiting.deadline <= now + self._service:
+            if waiting.deadline <= now + self._service_time:
                 yield self._refuse(
-                    waiting.call_id, Reason.DEADLINE, self._service
+                    waiting.call_id, Reason.DEADLINE, self._service_time
                 )
             else:
                 yield self._start(waiting.call_id)
 
     def _start(self, call_id: str) -> Start:
         self._running.add(call_id)
-        self._remember(call_id, started=True)
+        self._record_status(call_id, started=True)
         return Start(call_id)
 
     def _refuse(
         self, call_id: str, reason: Reason, retry_after: timedelta
     ) -> Refuse:
-        self._remember(call_id, started=False)
-        return Refuse(call_id, reason, max(retry_after, _SHORTEST_RETRY))
+        self._record_status(call_id, started=False)
+        return Refuse(call_id, reason, max(retry_after, _MIN_RETRY_AFTER))
 
-    def _remember(self, call_id: str, *, started: bool) -> None:
-        self._forget_old()
-        self._fates[call_id] = (started, self._clock.elapsed())
+    def _record_status(self, call_id: str, *, started: bool) -> None:
+        self._discard_expired()
+        self._statuses[call_id] = (started, self._clock.elapsed())
 
-    def _forget_old(self) -> None:
-        # The map keeps the order of insertion, so the oldest come first.
+    def _discard_expired(self) -> None:
+        # The dict keeps the order of insertion, so the oldest come first.
+        # A call that is still running is inserted again.
         now = self._clock.elapsed()
-        while self._fates:
-            call_id, (_started, since) = next(iter(self._fates.items()))
-            if since > now - FATE_MEMORY:
+        while self._statuses:
+            call_id, (_started, since) = next(iter(self._statuses.items()))
+            if since > now - STATUS_RETENTION:
                 break
-            self._fates.pop(call_id)
+            self._statuses.pop(call_id)
             if call_id in self._running:
-                self._fates[call_id] = (True, now)
+                self._statuses[call_id] = (True, now)
 
     def _expected_wait(self, priority: int) -> timedelta:
-        ahead = sum(1 for each in self._queue if each.priority <= priority)
-        return self._service * (ahead + 1) / self.concurrency
+        calls_ahead = sum(
+            1 for each in self._queue if each.priority <= priority
+        )
+        return self._service_time * (calls_ahead + 1) / self.concurrency
--- a/linnetwind/side_calls.py
+++ b/linnetwind/side_calls.py
@@ -1,4 +1,4 @@
-"""The calls at one upstream of a side daemon."""
+"""Admission and execution of calls at one upstream of a side daemon."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -22,66 +22,67 @@
 
 
 @dataclass
-class _Pending:
+class _PendingCall:
     call: Call
     send: Send
     run: UpstreamRun | None = None
 
 
 class UpstreamCalls:
-    """Admits calls, runs them at the upstream and sends the answers."""
+    """Admits calls, runs them at the upstream and sends back the responses."""
 
     def __init__(
         self, address: Address, gate: Gate, executor: Executor, clock: Clock
     ) -> None:
-        """Start with no calls.
+        """Create the state for an upstream without calls.
 
         Args:
-          address: The upstream's address.
-          gate: Decides which calls start.
-          executor: Runs the calls that start.
-          clock: Measures their time.
+          address: The address of the upstream.
+          gate: The admission control, which decides which calls start.
+          executor: The executor that runs the started calls.
+          clock: The clock that measures the duration of calls.
         """
         self._address = address
         self._gate = gate
         self._executor = executor
         self._clock = clock
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingCall] = {}
         self._lock = threading.RLock()
 
     @property
     def gate(self) -> Gate:
-        """Return the gate, for reports."""
+        """Return the admission gate, whose figures go into load reports."""
         return self._gate
 
     @property
     def busy(self) -> bool:
-        """Return whether any call waits or runs."""
+        """Return whether any call is queued or running."""
         return bool(self._pending)
 
     def offer(self, call: Call, send: Send) -> None:
-        """Take a call from an entry daemon.
+        """Start, queue or refuse a call from an entry daemon.
 
         Args:
           call: The call.
-          send: Sends an answer back; false once the connection is gone.
+          send: A function that sends a frame back to the entry daemon, and
+            returns False once the connection is closed.
         """
         with self._lock:
             actions = self._gate.offer(
                 call.call_id, call.priority, call.timeout_ms * _MS
             )
             if call.call_id not in self._pending:
-                self._pending[call.call_id] = _Pending(call, send)
-                self._perform(actions)
+                self._pending[call.call_id] = _PendingCall(call, send)
+                self._execute(actions)
 
     def withdraw(self, call_id: str) -> Fate:
-        """Answer what became of a call, and bar it if it has not started.
+        """Bar a call from starting unless it has started already.
 
         Args:
-          call_id: The call.
+          call_id: The ID of the call.
 
         Returns:
-          Its fate.
+          Whether the call has started.
         """
         with self._lock:
             started = self._gate.withdraw(call_id)
@@ -90,13 +91,13 @@
             return Fate(call_id, started)
 
     def cancel(self, call_id: str) -> None:
-        """Stop a call whose caller has gone.
+        """Cancel a call whose caller has disconnected.
 
-        A call that may not be repeated is left to run to its end: stopping
-        it halfway would leave nobody knowing what it did.
+        A call that is not repeatable runs to its end: if it were cancelled
+        halfway, nobody would know which effects it had.
 
         Args:
-          call_id: The call.
+          call_id: The ID of the call.
         """
         with self._lock:
             self.withdraw(call_id)
@@ -105,21 +106,21 @@
                 pending.run.cancel()
 
     def expire(self) -> None:
-        """Refuse the waiting calls whose deadline has passed."""
+        """Refuse the queued calls whose deadline has passed."""
         with self._lock:
-            self._perform(self._gate.expire())
+            self._execute(self._gate.expire())
 
-    def leave(self) -> None:
-        """Refuse waiting and new calls; running ones go on."""
+    def stop_accepting(self) -> None:
+        """Refuse queued calls and all new ones; running calls continue."""
         with self._lock:
-            self._perform(self._gate.leave())
+            self._execute(self._gate.stop_accepting())
 
-    def come_back(self) -> None:
-        """Take new calls again."""
+    def resume_accepting(self) -> None:
+        """Accept new calls again after `stop_accepting`."""
         with self._lock:
-            self._gate.come_back()
+            self._gate.resume_accepting()
 
-    def _perform(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Start(call_id):
@@ -133,46 +134,53 @@
             wait_ms = refusal.retry_after // _MS
             pending.send(Refused(refusal.call_id, refusal.reason, wait_ms))
 
-    def _run(self, pending: _Pending) -> None:
+    def _run(self, pending: _PendingCall) -> None:
         call = pending.call
         started = self._clock.elapsed()
         pending.run = UpstreamRun(self._address, call)
-        whole = False
+        complete = False
         try:
-            whole = self._relay(pending, pending.run)
+            complete = self._relay(pending, pending.run)
         except Exception:
             logger.exception('call {} failed', call.call_id)
             pending.send(Lost(call.call_id, Reason.INTERNAL))
         finally:
-            self._finish(call, self._clock.elapsed() - started, whole=whole)
+            self._finish(
+                call, self._clock.elapsed() - started, complete=complete
+            )
 
-    def _relay(self, pending: _Pending, run: UpstreamRun) -> bool:
+    def _relay(self, pending: _PendingCall, run: UpstreamRun) -> bool:
         delivered = True
-        whole = False
-        for answer in run.answers():
-            if isinstance(answer, Head):
-                self._note_backoff(answer)
-            # A call that may not be repeated is followed to its end even if
-            # nobody listens: its outcome must be known to the next repeat.
-            reached = pending.send(answer)
-            delivered = delivered and reached
+        complete = False
+        for frame in run.answers():
+            if isinstance(frame, Head):
+                self._apply_backoff(frame)
+            # The response to a call that is not repeatable is read to its
+            # end even if the caller has disconnected: a later retry with the
+            # same idempotency key needs the outcome.
+            sent = pending.send(frame)
+            delivered = delivered and sent
             if not delivered and pending.call.repeatable:
                 run.cancel()
                 return False
-            whole = isinstance(answer, End)
-        return whole
+            complete = isinstance(frame, End)
+        return complete
 
-    def _note_backoff(self, head: Head) -> None:
+    def _apply_backoff(self, head: Head) -> None:
         backoff = backoff_asked(head)
         if backoff is None:
             return
-        logger.info('upstream {} wants no calls for {}', self._address, backoff)
+        logger.info(
+            'upstream {} requests no calls for {}', self._address, backoff
+        )
         with self._lock:
-            self._perform(self._gate.back_off(backoff))
+            self._execute(self._gate.back_off(backoff))
 
-    def _finish(self, call: Call, took: timedelta, *, whole: bool) -> None:
+    def _finish(
+        self, call: Call, duration: timedelta, *, complete: bool
+    ) -> None:
         with self._lock:
             self._pending.pop(call.call_id, None)
-            self._perform(
-                self._gate.finish(call.call_id, took if whole else None)
+            self._execute(
+                self._gate.finish(call.call_id, duration if complete else None)
             )
--- a/linnetwind/side_calls_test.py
+++ b/linnetwind/side_calls_test.py
@@ -1,4 +1,4 @@
-"""Tests of the calls at an upstream that refuses some of them."""
+"""Tests of backoff when an upstream responds with Retry-After."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -17,15 +17,15 @@
 
 
 class InlineExecutor:
-    """Runs work at once."""
+    """An executor that runs work in the calling thread."""
 
     def submit(self, work, *arguments):
-        """Run it."""
+        """Run the work at once."""
         work(*arguments)
 
 
 class Side:
-    """The calls of a side daemon at one scripted upstream."""
+    """The calls of a side daemon to one scripted upstream."""
 
     def __init__(self, script):
         """Start the upstream."""
@@ -39,8 +39,8 @@
         )
         self._number = 0
 
-    def ask(self):
-        """Send a call; return the first message that came back."""
+    def send_call(self):
+        """Submit a call and return the first frame of the response."""
         self._number += 1
         call = Call(
             f'call-{self._number}',
@@ -56,9 +56,11 @@
             True,
             False,
         )
-        answers = []
-        self._calls.offer(call, lambda message: answers.append(message) or True)
-        return answers[0]
+        received = []
+        self._calls.offer(
+            call, lambda message: received.append(message) or True
+        )
+        return received[0]
 
 
 @pytest.fixture(name='serve')
@@ -74,36 +76,38 @@
         each.upstream.close()
 
 
-def _refuse(connection, request):
+def refuse_with_retry_after(connection, request):
     connection.answer(request, 'no', 503, Retry_After='3')
 
 
-def test_an_upstream_that_asked_to_back_off_gets_no_calls(serve):
-    """Guards against calls that go on to an upstream that backs off."""
-    side = serve(_refuse)
-    assert side.ask().status == 503
+def test_upstream_gets_no_calls_during_its_requested_backoff(serve):
+    """Guards against calls sent to an upstream that requested backoff."""
+    side = serve(refuse_with_retry_after)
+    assert side.send_call().status == 503
     side.clock.advance(SECOND)
-    refused = side.ask()
+    refused = side.send_call()
     assert isinstance(refused, Refused)
     assert refused.reason == Reason.OVERLOADED
     assert refused.retry_after_ms == 2000
     assert len(side.upstream.requests) == 1
     side.clock.advance(2 * SECOND)
-    assert isinstance(side.ask(), Head)
+    assert isinstance(side.send_call(), Head)
 
 
-@pytest.mark.parametrize('told', ['', 'soon', '-1', 'Wed, 21 Oct 2026 07:28'])
-def test_a_backoff_without_a_number_of_seconds_is_none(serve, told):
+@pytest.mark.parametrize(
+    'retry_after', ['', 'soon', '-1', 'Wed, 21 Oct 2026 07:28']
+)
+def test_retry_after_without_a_number_of_seconds_is_ignored(serve, retry_after):
     def script(connection, request):
-        connection.answer(request, 'no', 503, Retry_After=told)
+        connection.answer(request, 'no', 503, Retry_After=retry_after)
 
     side = serve(script)
-    assert [side.ask().status for _call in range(3)] == [503] * 3
+    assert [side.send_call().status for _call in range(3)] == [503] * 3
 
 
-def test_only_a_refusal_asks_to_back_off(serve):
+def test_retry_after_of_a_successful_response_is_ignored(serve):
     def script(connection, request):
         connection.answer(request, Retry_After='3')
 
     side = serve(script)
-    assert [side.ask().status for _call in range(3)] == [200] * 3
+    assert [side.send_call().status for _call in range(3)] == [200] * 3
--- a/linnetwind/side_daemon.py
+++ b/linnetwind/side_daemon.py
@@ -196,9 +196,9 @@
             if leaving != calls.gate.leaving:
                 changed = True
                 if leaving:
-                    calls.leave()
+                    calls.stop_accepting()
                 else:
-                    calls.come_back()
+                    calls.resume_accepting()
         if changed:
             self._server.broadcast(Leaving(self._leaving_names()))
 
