--- a/linnetwind/claims.py
+++ b/linnetwind/claims.py
@@ -1,11 +1,11 @@
-"""At most once for calls with an idempotency key: the ledger of one slot.
+"""At-most-once execution by idempotency key: the ledger of one slot.
 
 Keys are hashed into slots, and each slot of a service has a log stream. The
-side daemon that owns a slot writes a claim for a key before it runs the
-call, and the outcome afterwards. Ownership and claims stand in the same
-stream, so offset order alone decides: a claim that reaches the log after
-somebody else has taken the slot over is void, however long its writer was
-paused, and its writer finds that out before it runs anything.
+side daemon that owns a slot appends a claim for a key before it runs the
+call, and the outcome afterwards. Ownership and claims are records of the
+same stream, so the order of offsets alone decides. A claim that reaches the
+log after another daemon has taken over the slot is void, however long its
+writer was paused, and the writer detects this before it runs the call.
 """
 
 from collections.abc import Sequence
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    """A side daemon takes the slot over; `epoch` follows the last one."""
+class SlotTakeover:
+    """A side daemon takes over the slot; `epoch` is the last one plus 1."""
 
     owner: str
     epoch: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The owner is about to run the call with this key."""
+    """The owner of the slot is about to run the call with this key."""
 
     claim_id: str
     epoch: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """An answer that is small enough to be kept."""
+    """A response that is small enough to be stored in the log."""
 
     status: int
     headers: Headers
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The call ran; `answer` is None if it was too large to keep."""
+    """The call ran; `answer` is None if the response is too large to store."""
 
     claim_id: str
     key: bytes
@@ -55,20 +55,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Void:
-    """The claim's writer did not run the call under it and never will."""
+class WithdrawnClaim:
+    """The writer of the claim did not run the call and never will."""
 
     claim_id: str
     key: bytes
 
 
-LedgerRecord = Own | Claim | Done | Void
-CLAIMS_CODEC = Codec((Own, Claim, Done, Void))
+LedgerRecord = SlotTakeover | Claim | Done | WithdrawnClaim
+CLAIMS_CODEC = Codec((SlotTakeover, Claim, Done, WithdrawnClaim))
 
 
 @dataclass(frozen=True, slots=True)
-class Claimed:
-    """The key is claimed, and as far as the log tells has not finished."""
+class ClaimedKey:
+    """State of a key whose call has a claim and no outcome in the log."""
 
     claim_id: str
     fingerprint: bytes
@@ -76,8 +76,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
-    """The call with this key ran to its end."""
+class FinishedKey:
+    """State of a key whose call ran to its end."""
 
     claim_id: str
     fingerprint: bytes
@@ -85,14 +85,14 @@
     answer: StoredAnswer | None
 
 
-KeyState = Claimed | Finished
+KeyState = ClaimedKey | FinishedKey
 
 
 class SlotLedger:
-    """The fold over one slot's stream; the same in every process."""
+    """The fold over the stream of one slot; the same in every process."""
 
     def __init__(self) -> None:
-        """Start before the first record."""
+        """Create the ledger before the first record."""
         self._next_offset = 0
         self._epoch = 0
         self._owner = ''
@@ -100,12 +100,12 @@
 
     @property
     def next_offset(self) -> int:
-        """Return the offset up to which all records are folded."""
+        """Return the offset of the next record to fold."""
         return self._next_offset
 
     @property
     def epoch(self) -> int:
-        """Return how often the slot has been taken over."""
+        """Return the number of takeovers of the slot."""
         return self._epoch
 
     @property
@@ -113,46 +113,48 @@
         """Return the incarnation that owns the slot, or an empty string."""
         return self._owner
 
-    def state_of(self, key: bytes) -> KeyState | None:
-        """Return what the log says of a key.
+    def key_state(self, key: bytes) -> KeyState | None:
+        """Return the state of a key according to the folded records.
 
         Args:
-          key: The key's digest.
+          key: The digest of the key.
 
         Returns:
-          Its state, or None if it was never claimed.
+          The state, or None if no valid claim of the key is known.
         """
         return self._keys.get(key)
 
-    def note_done(self, done: Done) -> None:
-        """Take in an outcome of this process ahead of the log.
+    def record_outcome(self, done: Done) -> None:
+        """Apply an outcome of this process before it is in the log.
 
         Args:
           done: The outcome; folding it again later changes nothing.
         """
         self._apply(self._next_offset, done)
 
-    def take_page(self, page: Page) -> None:
-        """Fold the records of a page, and forget keys that have expired.
+    def fold_page(self, page: Page) -> None:
+        """Fold the records of a page, and discard keys that have expired.
 
         Args:
-          page: Records from `next_offset` on.
+          page: The records from `next_offset` on. Keys whose claims are
+            older than its first available offset are discarded.
         """
         for entry in page.entries:
             if entry.offset >= self._next_offset:
-                self._take(entry)
+                self._fold(entry)
         self._next_offset = max(self._next_offset, page.end)
-        self._forget_before(page.first)
+        self._expire_before(page.first)
 
     def take_own(self, offset: int, records: Sequence[LedgerRecord]) -> bool:
-        """Fold records just appended here, if nothing came in between.
+        """Fold records that this process has appended, if none precede them.
 
         Args:
-          offset: The offset that the first of them got.
+          offset: The offset of the first of these records.
           records: The records.
 
         Returns:
-          Whether they were folded; if not, the stream must be read.
+          Whether they were folded; if not, records of other processes come
+          before them and the stream must be read.
         """
         if offset != self._next_offset:
             return False
@@ -161,7 +163,7 @@
             self._next_offset = position + 1
         return True
 
-    def _take(self, entry: Entry) -> None:
+    def _fold(self, entry: Entry) -> None:
         record = CLAIMS_CODEC.decode(entry.record).unwrap_or(None)
         self._next_offset = entry.offset + 1
         if record is not None:
@@ -169,54 +171,60 @@
 
     def _apply(self, offset: int, record: LedgerRecord) -> None:
         match record:
-            case Own(owner, epoch):
-                # Two daemons that take over at once both name the next
-                # epoch; the second in offset order is void.
+            case SlotTakeover(owner, epoch):
+                # Two daemons that take over concurrently both write the
+                # next epoch; the second in the order of offsets is void.
                 if epoch == self._epoch + 1:
                     self._epoch = epoch
                     self._owner = owner
             case Claim():
-                self._claim(offset, record)
+                self._apply_claim(offset, record)
             case Done(claim_id, key, answer):
-                held = self._held(key, claim_id)
-                if held is not None:
-                    self._keys[key] = Finished(
-                        claim_id, held.fingerprint, held.offset, answer
+                open_claim = self._open_claim(key, claim_id)
+                if open_claim is not None:
+                    self._keys[key] = FinishedKey(
+                        claim_id,
+                        open_claim.fingerprint,
+                        open_claim.offset,
+                        answer,
                     )
-            case Void(claim_id, key):
-                if self._held(key, claim_id) is not None:
+            case WithdrawnClaim(claim_id, key):
+                if self._open_claim(key, claim_id) is not None:
                     self._keys.pop(key)
 
-    def _claim(self, offset: int, claim: Claim) -> None:
-        # A claim of an older epoch was written by a former owner that was
-        # paused; the new owner may have run the call since.
+    def _apply_claim(self, offset: int, claim: Claim) -> None:
+        # A claim of an older epoch was written by a previous owner that was
+        # paused; the new owner may have run the call in the meantime.
         if claim.epoch == self._epoch and claim.key not in self._keys:
-            self._keys[claim.key] = Claimed(
+            self._keys[claim.key] = ClaimedKey(
                 claim.claim_id, claim.fingerprint, offset
             )
 
-    def _held(self, key: bytes, claim_id: str) -> Claimed | None:
-        held = self._keys.get(key)
-        if isinstance(held, Claimed) and held.claim_id == claim_id:
-            return held
+    def _open_claim(self, key: bytes, claim_id: str) -> ClaimedKey | None:
+        open_claim = self._keys.get(key)
+        if (
+            isinstance(open_claim, ClaimedKey)
+            and open_claim.claim_id == claim_id
+        ):
+            return open_claim
         return None
 
-    def _forget_before(self, first: int) -> None:
-        # Keys stand in the order of their claims, so the oldest come first.
+    def _expire_before(self, first: int) -> None:
+        # The dict keeps the order of the claims, so the oldest come first.
         for key, state in list(self._keys.items()):
             if state.offset >= first:
                 break
             self._keys.pop(key)
 
 
-def stream_of(service: str, slot: int) -> str:
-    """Return the name of a slot's stream.
+def slot_stream(service: str, slot: int) -> str:
+    """Return the name of the log stream of a slot.
 
     Args:
-      service: The service's name.
-      slot: The slot's number.
+      service: The name of the service.
+      slot: The number of the slot.
 
     Returns:
-      The name.
+      The name of the stream.
     """
     return f'{STREAM_PREFIX}-{service}-{slot}'
--- a/linnetwind/claims_test.py
+++ b/linnetwind/claims_test.py
@@ -1,15 +1,15 @@
-"""Tests of a slot's ledger: what its records mean in their order."""
+"""Tests of the fold of a slot's records into its ledger."""
 
 from linnetwind.claims import (
     CLAIMS_CODEC,
     Claim,
-    Claimed,
+    ClaimedKey,
     Done,
-    Finished,
-    Own,
+    FinishedKey,
+    SlotTakeover,
     SlotLedger,
     StoredAnswer,
-    Void,
+    WithdrawnClaim,
 )
 from linnetwind.log_port import Entry, Page
 
@@ -17,64 +17,68 @@
 ANSWER = StoredAnswer(200, (), b'paired')
 
 
-def ledger(*records, first=0):
-    found = SlotLedger()
+def make_ledger(*records, first=0):
+    ledger = SlotLedger()
     entries = tuple(
         Entry(offset, CLAIMS_CODEC.encode(record))
         for offset, record in enumerate(records, first)
     )
-    found.take_page(Page(first, first + len(records), entries))
-    return found
+    ledger.fold_page(Page(first, first + len(records), entries))
+    return ledger
 
 
-def test_claim_behind_a_takeover_is_void():
-    # Its writer was paused and owned the slot when it wrote.
-    found = ledger(Own('a', 1), Own('b', 2), Claim('late', 1, KEY, b''))
-    assert found.state_of(KEY) is None
+def test_claim_after_a_takeover_is_void():
+    # The writer owned the slot when it started the append, and was paused.
+    ledger = make_ledger(
+        SlotTakeover('a', 1), SlotTakeover('b', 2), Claim('late', 1, KEY, b'')
+    )
+    assert ledger.key_state(KEY) is None
 
 
-def test_claim_before_a_takeover_stands():
-    found = ledger(Own('a', 1), Claim('c', 1, KEY, b''), Own('b', 2))
-    assert isinstance(found.state_of(KEY), Claimed)
+def test_claim_before_a_takeover_is_valid():
+    ledger = make_ledger(
+        SlotTakeover('a', 1), Claim('c', 1, KEY, b''), SlotTakeover('b', 2)
+    )
+    assert isinstance(ledger.key_state(KEY), ClaimedKey)
 
 
-def test_outcome_of_a_former_owner_counts():
-    found = ledger(
-        Own('a', 1),
+def test_outcome_written_by_a_previous_owner_is_valid():
+    ledger = make_ledger(
+        SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
-        Own('b', 2),
+        SlotTakeover('b', 2),
         Done('c', KEY, ANSWER),
     )
-    assert found.state_of(KEY) == Finished('c', b'', 1, ANSWER)
+    assert ledger.key_state(KEY) == FinishedKey('c', b'', 1, ANSWER)
 
 
-def test_outcome_and_taking_back_of_another_claim_are_passed_over():
-    found = ledger(
-        Own('a', 1),
+def test_outcome_and_withdrawal_of_another_claim_are_ignored():
+    ledger = make_ledger(
+        SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
         Done('x', KEY, ANSWER),
-        Void('x', KEY),
+        WithdrawnClaim('x', KEY),
     )
-    assert isinstance(found.state_of(KEY), Claimed)
+    assert isinstance(ledger.key_state(KEY), ClaimedKey)
 
 
-def test_taking_back_never_undoes_an_outcome():
-    found = ledger(
-        Own('a', 1),
+def test_withdrawal_after_an_outcome_is_ignored():
+    ledger = make_ledger(
+        SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
         Done('c', KEY, ANSWER),
-        Void('c', KEY),
+        WithdrawnClaim('c', KEY),
     )
-    assert isinstance(found.state_of(KEY), Finished)
+    assert isinstance(ledger.key_state(KEY), FinishedKey)
 
 
-def test_key_is_forgotten_with_its_record():
-    found = ledger(Own('a', 1), Claim('c', 1, KEY, b''))
-    found.take_page(Page(2, 2, ()))
-    assert found.state_of(KEY) is None
+def test_key_is_discarded_when_its_claim_has_expired():
+    ledger = make_ledger(SlotTakeover('a', 1), Claim('c', 1, KEY, b''))
+    ledger.fold_page(Page(2, 2, ()))
+    assert ledger.key_state(KEY) is None
 
 
-def test_garbage_changes_nothing():
-    found = ledger(Own('a', 1))
-    found.take_page(Page(0, 2, (Entry(1, b'\xff'),)))
-    assert (found.owner, found.next_offset) == ('a', 2)
+def test_undecodable_record_is_skipped():
+    ledger = make_ledger(SlotTakeover('a', 1))
+    ledger.fold_page(Page(0, 2, (Entry(1, b'\xff'),)))
+    assert (ledger.owner, ledger.next_offset) == ('a', 2)
--- a/linnetwind/keyed_calls.py
+++ b/linnetwind/keyed_calls.py
@@ -1,9 +1,9 @@
-"""Running calls with an idempotency key at the side that owns their slot.
+"""Runs calls with an idempotency key at the side that owns their slot.
 
-The order of the steps is what makes a call run at most once: own the slot,
-know its ledger, claim the key, be sure that the claim stands, and only then
-hand the call to the gate. Whatever fails before the last step leaves the
-call not run.
+The order of the steps guarantees that a call runs at most once: take over
+the slot, read its ledger, append a claim for the key, verify that the claim
+is valid, and only then pass the call to admission. If any step before the
+last fails, the call has not run.
 """
 
 import threading
@@ -20,15 +20,15 @@
 from linnetwind.claims import (
     CLAIMS_CODEC,
     Claim,
-    Claimed,
+    ClaimedKey,
     Done,
-    Finished,
+    FinishedKey,
     LedgerRecord,
-    Own,
+    SlotTakeover,
     SlotLedger,
     StoredAnswer,
-    Void,
-    stream_of,
+    WithdrawnClaim,
+    slot_stream,
 )
 from linnetwind.clock import Clock
 from linnetwind.decisions import log_decision
@@ -38,46 +38,52 @@
 from linnetwind.outcome import Reason
 from linnetwind.side_calls import Send, UpstreamCalls
 
-LARGEST_STORED_BODY = 4096
+MAX_STORED_BODY_BYTES = 4096
 
 _RETRY_MS = 1000
-_LOG_PAUSE = timedelta(seconds=0.5)
+_LOG_BACKOFF = timedelta(seconds=0.5)
 
 
 Followers = list[tuple[str, Send]]
 
 
 @dataclass
-class _Recording:
-    """An answer on its way through, kept for repeats of the key."""
+class _RecordedResponse:
+    """A response that is recorded while it is relayed, for later retries."""
 
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
 
     @property
     def answer(self) -> StoredAnswer | None:
-        """Return the answer if it is whole and small enough."""
-        if self.whole and len(self.body) <= LARGEST_STORED_BODY:
+        """Return the response if it is complete and small enough to store."""
+        if self.complete and len(self.body) <= MAX_STORED_BODY_BYTES:
             return StoredAnswer(self.status, self.headers, self.body)
         return None
 
 
 @dataclass
 class _Slot:
-    """One slot as this side knows it."""
+    """The state of one slot at this side.
+
+    `unlogged` are records that could not be appended yet or that wait for
+    the next append. `abandoned` are the IDs of claims that are to be ignored
+    until their withdrawal is in the log. `running` holds the retries that
+    wait for each running key.
+    """
 
     stream: str
     ledger: SlotLedger = field(default_factory=SlotLedger)
     lock: threading.Lock = field(default_factory=threading.Lock)
-    unsent: list[LedgerRecord] = field(default_factory=list)
+    unlogged: list[LedgerRecord] = field(default_factory=list)
     abandoned: set[str] = field(default_factory=set)
     running: dict[bytes, Followers] = field(default_factory=dict)
 
 
 class KeyedCalls:
-    """All slots that this side owns or has owned."""
+    """Handles keyed calls for all slots that this side owns or has owned."""
 
     def __init__(
         self,
@@ -86,38 +92,39 @@
         executor: Executor,
         clock: Clock,
     ) -> None:
-        """Start owning nothing.
+        """Create the handler without owned slots.
 
         Args:
           log: The log service.
-          incarnation: Differs after each restart, and names the owner.
-          executor: Does the work, which waits for the log.
-          clock: For the pause after a failure of the log.
+          incarnation: The ID of this process as an owner of slots; it
+            differs after each restart.
+          executor: The executor for the work, which blocks on the log.
+          clock: The clock for the backoff after a failure of the log.
         """
         self._log = log
         self._incarnation = incarnation
         self._executor = executor
         self._clock = clock
-        self._log_pause_until = clock.elapsed()
+        self._log_backoff_until = clock.elapsed()
         self._slots: dict[str, _Slot] = {}
         self._lock = threading.Lock()
 
     def handle(self, call: Call, send: Send, calls: UpstreamCalls) -> None:
-        """Take a call with a key; the work is done on the executor.
+        """Handle a call with an idempotency key, on the executor.
 
         Args:
           call: The call; `key`, `slot` and `fingerprint` are set.
-          send: Sends answers back.
-          calls: Runs it at the upstream.
+          send: A function that sends frames back to the entry daemon.
+          calls: The admission and execution of calls at the upstream.
         """
         self._executor.submit(self._handle, call, send, calls)
 
     def flush(self) -> None:
-        """Append the outcomes that are not yet in the log."""
+        """Append outcomes and withdrawals that are not yet in the log."""
         with self._lock:
             slots = list(self._slots.values())
         for slot in slots:
-            if slot.unsent:
+            if slot.unlogged:
                 with slot.lock:
                     self._append(slot, ())
 
@@ -125,60 +132,64 @@
         slot = self._slot(call)
         try:
             with slot.lock:
-                refusal = self._prepare(slot, call, send)
+                decision = self._decide(slot, call, send)
         except Exception:
             logger.exception('keyed call {} failed', call.call_id)
-            refusal = Refused(call.call_id, Reason.INTERNAL, _RETRY_MS)
-        match refusal:
+            decision = Refused(call.call_id, Reason.INTERNAL, _RETRY_MS)
+        match decision:
             case Claim():
-                self._run(slot, refusal, call, send, calls)
+                self._run(slot, decision, call, send, calls)
             case Refused() | Lost():
-                _log_refusal(call, refusal.reason)
-                send(refusal)
+                _log_refusal(call, decision.reason)
+                send(decision)
             case StoredAnswer():
                 _log_refusal(call, Reason.RAN_BEFORE)
-                _replay(refusal, call.call_id, send)
+                _replay(decision, call.call_id, send)
 
     def _slot(self, call: Call) -> _Slot:
-        stream = stream_of(call.service, call.slot or 0)
+        stream = slot_stream(call.service, call.slot or 0)
         with self._lock:
             return self._slots.setdefault(stream, _Slot(stream))
 
-    def _prepare(
+    def _decide(
         self, slot: _Slot, call: Call, send: Send
     ) -> Claim | Refused | Lost | StoredAnswer | None:
         """Decide what to do with a call; None if it joined a running one."""
-        # While the log is out nobody can tell whether another side has
-        # claimed the key. Refusals go out at once instead of each waiting
-        # for a time-out of its own.
-        paused = self._clock.elapsed() < self._log_pause_until
-        if paused or not self._own(slot):
+        # While the log is unavailable, this side cannot know whether another
+        # side has claimed the key. Calls are refused at once, rather than
+        # each after a timeout of its own.
+        backing_off = self._clock.elapsed() < self._log_backoff_until
+        if backing_off or not self._ensure_owned(slot):
             return _refuse(call, Reason.LOG_UNAVAILABLE)
         key = call.key or b''
-        known = slot.ledger.state_of(key)
-        if known is not None and known.claim_id not in slot.abandoned:
-            if known.fingerprint != call.fingerprint:
-                # Coming back would not help, so there is no time to wait.
+        previous = slot.ledger.key_state(key)
+        if previous is not None and previous.claim_id not in slot.abandoned:
+            if previous.fingerprint != call.fingerprint:
+                # A retry would fail again, so no time to retry is given.
                 return Refused(call.call_id, Reason.KEY_REUSED, 0)
-            return self._repeat(slot, call, send, known)
-        return self._claim(slot, call, known)
+            return self._handle_retry(slot, call, send, previous)
+        return self._claim(slot, call, previous)
 
-    def _repeat(
-        self, slot: _Slot, call: Call, send: Send, known: Claimed | Finished
+    def _handle_retry(
+        self,
+        slot: _Slot,
+        call: Call,
+        send: Send,
+        previous: ClaimedKey | FinishedKey,
     ) -> Lost | StoredAnswer | None:
         followers = slot.running.get(call.key or b'')
         if followers is not None:
             followers.append((call.call_id, send))
             return None
-        if isinstance(known, Finished) and known.answer is not None:
-            return known.answer
-        # A former owner claimed the key and nobody knows how far it came,
-        # or the answer was too large to keep. Running it could be the
-        # second time.
+        if isinstance(previous, FinishedKey) and previous.answer is not None:
+            return previous.answer
+        # Either a previous owner claimed the key and how far its call came
+        # is unknown, or the response was too large to store. Running the
+        # call now could run it twice.
         return Lost(call.call_id, Reason.RAN_BEFORE)
 
-    def _own(self, slot: _Slot) -> bool:
-        """Make sure that this side owns the slot and knows its ledger."""
+    def _ensure_owned(self, slot: _Slot) -> bool:
+        """Take over the slot if necessary, with an up-to-date ledger."""
         if slot.ledger.owner == self._incarnation:
             return True
         if self._catch_up(slot).is_err():
@@ -186,14 +197,14 @@
         if slot.ledger.owner == self._incarnation:
             return True
         epoch = slot.ledger.epoch + 1
-        appended = self._append(slot, (Own(self._incarnation, epoch),))
+        appended = self._append(slot, (SlotTakeover(self._incarnation, epoch),))
         if appended.is_err():
             return False
         log_decision('slot_taken', {'stream': slot.stream, 'epoch': epoch})
         return slot.ledger.owner == self._incarnation
 
     def _claim(
-        self, slot: _Slot, call: Call, known: Claimed | Finished | None
+        self, slot: _Slot, call: Call, previous: ClaimedKey | FinishedKey | None
     ) -> Claim | Refused:
         claim = Claim(
             uuid.uuid4().hex,
@@ -202,18 +213,19 @@
             call.fingerprint or b'',
         )
         records: list[LedgerRecord] = [claim]
-        if known is not None:
-            records.insert(0, Void(known.claim_id, claim.key))
+        if previous is not None:
+            records.insert(0, WithdrawnClaim(previous.claim_id, claim.key))
         if self._append(slot, records).is_err():
-            # The claim may be in the log or may get there late. The call is
-            # not run under it, now or later, so "not run" is true; the
-            # claim is taken back so that it does not block the key.
+            # The claim may be in the log or may still reach it. No call
+            # runs under this claim, now or later, so that "not run" is the
+            # true outcome. The claim is withdrawn so that it does not block
+            # the key.
             slot.abandoned.add(claim.claim_id)
-            slot.unsent.append(Void(claim.claim_id, claim.key))
+            slot.unlogged.append(WithdrawnClaim(claim.claim_id, claim.key))
             return _refuse(call, Reason.LOG_UNAVAILABLE)
-        held = slot.ledger.state_of(claim.key)
-        if held is None or held.claim_id != claim.claim_id:
-            # Somebody took the slot over before the claim reached the log.
+        current = slot.ledger.key_state(claim.key)
+        if current is None or current.claim_id != claim.claim_id:
+            # Another side took over the slot before the claim was logged.
             return _refuse(call, Reason.STALE_OWNER)
         slot.running[claim.key] = []
         return claim
@@ -226,82 +238,82 @@
         send: Send,
         calls: UpstreamCalls,
     ) -> None:
-        recording = _Recording()
+        recorded = _RecordedResponse()
 
-        def record(answer: Any) -> bool:  # noqa: WPS430
-            _note(recording, answer)
-            if isinstance(answer, Refused | Lost | End):
-                self._finish(slot, claim, recording, answer)
-            return send(answer)
+        def relay(frame: Any) -> bool:  # noqa: WPS430
+            _record_frame(recorded, frame)
+            if isinstance(frame, Refused | Lost | End):
+                self._finish(slot, claim, recorded, frame)
+            return send(frame)
 
-        calls.offer(call, record)
+        calls.offer(call, relay)
 
     def _finish(
         self,
         slot: _Slot,
         claim: Claim,
-        recording: _Recording,
+        recorded: _RecordedResponse,
         last: Refused | Lost | End,
     ) -> None:
         with slot.lock:
             followers = slot.running.pop(claim.key, [])
             if isinstance(last, Refused):
-                # The gate or the upstream's host proved that it never
-                # started, so the key is free again.
+                # Admission or the host of the upstream guarantees that the
+                # call never started, so the key may be claimed again.
                 slot.abandoned.add(claim.claim_id)
-                slot.unsent.append(Void(claim.claim_id, claim.key))
+                slot.unlogged.append(WithdrawnClaim(claim.claim_id, claim.key))
             elif isinstance(last, End):
-                done = Done(claim.claim_id, claim.key, recording.answer)
-                slot.unsent.append(done)
-                slot.ledger.note_done(done)
+                done = Done(claim.claim_id, claim.key, recorded.answer)
+                slot.unlogged.append(done)
+                slot.ledger.record_outcome(done)
         for call_id, send in followers:
-            _tell_follower(call_id, send, last, recording.answer)
+            _send_outcome(call_id, send, last, recorded.answer)
 
     def _append(
         self, slot: _Slot, records: Iterable[LedgerRecord]
     ) -> Result[None, LogUnavailable]:
-        batch = [*slot.unsent, *records]
+        batch = [*slot.unlogged, *records]
         frames = [CLAIMS_CODEC.encode(record) for record in batch]
         match self._log.append(slot.stream, frames):
             case Ok(offset):
-                slot.unsent.clear()
-                slot.abandoned -= _taken_back(batch)
+                slot.unlogged.clear()
+                slot.abandoned -= _withdrawn_ids(batch)
                 if slot.ledger.take_own(offset, batch):
                     return Ok(None)
                 return self._catch_up(slot)
             case Err() as failed:
-                # What was unsent stays so: outcomes and takings-back are
-                # harmless when they are in the log twice.
-                self._log_pause_until = self._clock.elapsed() + _LOG_PAUSE
+                # The unlogged records remain for the next attempt: outcomes
+                # and withdrawals may be in the log twice without harm.
+                self._log_backoff_until = self._clock.elapsed() + _LOG_BACKOFF
                 return failed
 
     def _catch_up(self, slot: _Slot) -> Result[None, LogUnavailable]:
         start = slot.ledger.next_offset
         match read_to_end(self._log, slot.stream, start):
             case Ok(page):
-                return Ok(slot.ledger.take_page(page))
+                return Ok(slot.ledger.fold_page(page))
             case Err() as failed:
-                self._log_pause_until = self._clock.elapsed() + _LOG_PAUSE
+                self._log_backoff_until = self._clock.elapsed() + _LOG_BACKOFF
                 return failed
 
 
-def _taken_back(batch: Iterable[LedgerRecord]) -> set[str]:
-    return {each.claim_id for each in batch if isinstance(each, Void)}
+def _withdrawn_ids(batch: Iterable[LedgerRecord]) -> set[str]:
+    return {each.claim_id for each in batch if isinstance(each, WithdrawnClaim)}
 
 
 def _refuse(call: Call, reason: Reason) -> Refused:
     return Refused(call.call_id, reason, _RETRY_MS)
 
 
-def _note(recording: _Recording, answer: Any) -> None:
-    match answer:
+def _record_frame(recorded: _RecordedResponse, frame: Any) -> None:
+    match frame:
         case Head(status=status, headers=headers):
-            recording.status = status
-            recording.headers = headers
-        case Chunk(body=body) if len(recording.body) <= LARGEST_STORED_BODY:
-            recording.body += body
+            recorded.status = status
+            recorded.headers = headers
+        case Chunk(body=body) if len(recorded.body) <= MAX_STORED_BODY_BYTES:
+            recorded.body += body
         case End():
-            recording.whole = True
+            recorded.complete = True
 
 
 def _replay(answer: StoredAnswer, call_id: str, send: Send) -> None:
@@ -310,7 +322,7 @@
     send(End(call_id, 1))
 
 
-def _tell_follower(
+def _send_outcome(
     call_id: str,
     send: Send,
     last: Refused | Lost | End,
