--- a/linnetwind/entry_daemon.py
+++ b/linnetwind/entry_daemon.py
@@ -177,7 +177,7 @@
                     self._fleet.take_load(message)
             case Leaving(upstreams):
                 with self._links.lock:
-                    self._fleet.take_leaving(host, upstreams)
+                    self._fleet.apply_leaving(host, upstreams)
             case Shares():
                 self._limits.take_shares(message)
             case Challenge(config_offset=offset):
--- a/linnetwind/fleet.py
+++ b/linnetwind/fleet.py
@@ -1,7 +1,8 @@
-"""What one entry daemon knows of the upstreams, as plain state.
+"""The state of the upstreams as one entry daemon knows it.
 
-It brings together the configuration, the platform's host list, the sides'
-reports and notices, and the daemon's own calls in flight.
+The state combines the configuration, the platform's host list, the load
+reports and draining notices of side daemons, and the calls that the entry
+daemon has in flight itself.
 """
 
 from collections import OrderedDict
@@ -15,46 +16,50 @@
 from linnetwind.messages import Load
 from linnetwind.routing import Candidate
 
-# After this many failures in a row an upstream is left alone for a while.
-EJECT_AFTER = 3
-FIRST_EJECTION = timedelta(seconds=1)
-LONGEST_EJECTION = timedelta(minutes=0.5)
-CACHE_BLOCKS = 4096
-FIRST_HOSTS = 3
+# The number of consecutive failures after which an upstream is ejected.
+EJECT_AFTER_FAILURES = 3
+MIN_EJECTION = timedelta(seconds=1)
+MAX_EJECTION = timedelta(minutes=0.5)
+MAX_CACHED_BLOCKS = 4096
+MAX_BOOTSTRAP_HOSTS = 3
 
-_NONE = timedelta()
+_ZERO = timedelta()
 
 
 @dataclass
-class _Seen:
-    """One upstream: its last report and the own calls since."""
+class _UpstreamState:
+    """The last report of an upstream, and this daemon's calls to it.
+
+    `sent` counts the calls since the connection was opened, and
+    `finished_since_report` those that ended since the last report.
+    """
 
     report: Load | None = None
     sent: int = 0
-    finished_since: int = 0
-    own: int = 0
-    last_sign: timedelta = _NONE
+    finished_since_report: int = 0
+    in_flight: int = 0
+    last_frame_at: timedelta = _ZERO
     failures: int = 0
-    ejected_until: timedelta = _NONE
+    ejected_until: timedelta = _ZERO
     ejections: int = 0
     cached: 'OrderedDict[int, None]' = field(default_factory=OrderedDict)
 
 
 class Fleet:
-    """The upstreams as seen from here. The caller holds a lock."""
+    """The known upstreams and their states. The caller holds a lock."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start knowing nothing.
+        """Create a fleet without configuration and hosts.
 
         Args:
-          clock: For silence and ejections.
+          clock: The clock for silence and ejections.
         """
         self._clock = clock
         self._base: Base | None = None
         self._hosts: dict[str, Host] = {}
         self._connected: set[str] = set()
         self._leaving: dict[str, frozenset[str]] = {}
-        self._seen: dict[str, _Seen] = {}
+        self._states: dict[str, _UpstreamState] = {}
         self._regions: dict[str, str] = {}
 
     @property
@@ -64,14 +69,14 @@
 
     @property
     def hosts(self) -> dict[str, Host]:
-        """Return the hosts by name, as last heard."""
+        """Return the hosts of the latest host list by name."""
         return self._hosts
 
     def take_base(self, base: Base) -> None:
         """Replace the configuration.
 
         Args:
-          base: What is in force at this site.
+          base: The configuration in force at this site.
         """
         self._base = base
         self._regions = {site.name: site.region for site in base.sites}
@@ -80,150 +85,154 @@
             for service in base.services
             for upstream in service.upstreams
         }
-        for name in set(self._seen) - known:
-            self._seen.pop(name)
+        for name in set(self._states) - known:
+            self._states.pop(name)
 
     def take_hosts(self, hosts: Sequence[Host]) -> None:
         """Replace the host list.
 
         Args:
-          hosts: The platform's latest list.
+          hosts: The latest host list of the platform.
         """
         self._hosts = {host.name: host for host in hosts}
 
-    def wanted_hosts(self, site: str) -> set[str]:
+    def hosts_to_connect(self, site: str) -> set[str]:
         """Return the hosts to which a daemon of a site should connect.
 
-        Each connection costs memory and a report every few seconds, so a
-        service that has upstreams in the own region is reached there only;
-        the others are wanted once none of those can be reached.
+        Each connection costs memory and a report every few seconds. For a
+        service with upstreams in the region of the daemon, connections are
+        opened to these only, and to all other upstreams once none of these
+        is connected.
 
         Args:
-          site: The daemon's site.
+          site: The site of the daemon.
 
         Returns:
-          The names of hosts on the list.
+          The names of hosts on the host list.
         """
         if self._base is None:
-            # Without a configuration any side will do to get one from.
-            return set(list(self._hosts)[:FIRST_HOSTS])
+            # Any side daemon can provide the configuration.
+            return set(list(self._hosts)[:MAX_BOOTSTRAP_HOSTS])
         region = self.region(site)
-        wanted: set[str] = set()
+        hosts: set[str] = set()
         for service in self._base.services:
-            everywhere = {each.host for each in service.upstreams}
-            near = {
+            all_hosts = {each.host for each in service.upstreams}
+            regional_hosts = {
                 each.host
                 for each in service.upstreams
                 if self.region(each.site) == region
             }
-            reached = near & self._connected
-            wanted |= near if reached else everywhere
-        return wanted & set(self._hosts)
+            connected_hosts = regional_hosts & self._connected
+            hosts |= regional_hosts if connected_hosts else all_hosts
+        return hosts & set(self._hosts)
 
     def connected(self, host: str) -> None:
-        """Take note of a new connection; what was known is out of date.
+        """Record a new connection, and discard reports of the previous one.
 
         Args:
-          host: The host's name.
+          host: The name of the host.
         """
         self._connected.add(host)
         for upstream in self._upstreams_of(host):
-            seen = self._of(upstream.name)
-            seen.report = None
-            seen.sent = 0
-            seen.last_sign = self._clock.elapsed()
+            state = self._state_of(upstream.name)
+            state.report = None
+            state.sent = 0
+            state.last_frame_at = self._clock.elapsed()
 
     def disconnected(self, host: str) -> None:
-        """Take note that a connection is gone.
+        """Record the end of a connection.
 
         Args:
-          host: The host's name.
+          host: The name of the host.
         """
         self._connected.discard(host)
-        # Not on connecting: the new side's notice may have come before.
+        # This is not done in `connected`, because the `Leaving` message of
+        # the new connection may have been applied before.
         self._leaving.pop(host, None)
 
-    def take_leaving(self, host: str, upstreams: Sequence[str]) -> None:
-        """Take note that a side refuses new calls for these upstreams.
+    def apply_leaving(self, host: str, upstreams: Sequence[str]) -> None:
+        """Record the upstreams for which a side daemon refuses new calls.
 
         Args:
-          host: The host's name.
+          host: The name of the host.
           upstreams: All of its upstreams that are leaving.
         """
         self._leaving[host] = frozenset(upstreams)
 
     def take_load(self, load: Load) -> None:
-        """Take an upstream's report.
+        """Apply the load report of an upstream.
 
         Args:
           load: The report.
         """
-        seen = self._of(load.upstream)
-        seen.report = load
-        seen.finished_since = 0
-        seen.last_sign = self._clock.elapsed()
+        state = self._state_of(load.upstream)
+        state.report = load
+        state.finished_since_report = 0
+        state.last_frame_at = self._clock.elapsed()
         for block in load.cached:
-            self._remember_block(seen, block)
+            self._record_cached_block(state, block)
         for block in load.uncached:
-            seen.cached.pop(block, None)
+            state.cached.pop(block, None)
 
     def call_sent(self, upstream: str, blocks: Sequence[int]) -> None:
-        """Take note of an own call.
+        """Record that this daemon has sent a call.
 
         Args:
-          upstream: Where it went.
-          blocks: Its prompt's block hashes, which will be cached there.
+          upstream: The name of the upstream.
+          blocks: The block hashes of the prompt, which the upstream will
+            have in its cache.
         """
-        seen = self._of(upstream)
-        if seen.own == 0:
-            seen.last_sign = self._clock.elapsed()
-        seen.sent += 1
-        seen.own += 1
+        state = self._state_of(upstream)
+        if state.in_flight == 0:
+            state.last_frame_at = self._clock.elapsed()
+        state.sent += 1
+        state.in_flight += 1
         for block in blocks:
-            self._remember_block(seen, block)
+            self._record_cached_block(state, block)
 
     def sign_of_life(self, upstream: str) -> None:
-        """Take note that a frame came from an upstream.
+        """Record that a frame was received from an upstream.
 
         Args:
-          upstream: Its name.
+          upstream: The name of the upstream.
         """
-        self._of(upstream).last_sign = self._clock.elapsed()
+        self._state_of(upstream).last_frame_at = self._clock.elapsed()
 
     def call_ended(self, upstream: str, *, failed: bool) -> None:
-        """Take note that an own call ended.
+        """Record the end of a call of this daemon.
 
         Args:
-          upstream: Where it was.
-          failed: Whether the upstream or its host is to blame.
+          upstream: The name of the upstream.
+          failed: Whether the call failed because of the upstream or its
+            host.
         """
-        seen = self._of(upstream)
-        seen.own -= 1
-        seen.finished_since += 1
+        state = self._state_of(upstream)
+        state.in_flight -= 1
+        state.finished_since_report += 1
         if not failed:
-            seen.failures = 0
-            seen.ejections = 0
+            state.failures = 0
+            state.ejections = 0
             return
-        seen.failures += 1
-        if seen.failures >= EJECT_AFTER:
+        state.failures += 1
+        if state.failures >= EJECT_AFTER_FAILURES:
             # Each call sent to a failing upstream costs its caller a retry.
-            # The ejection ends by itself, so an upstream that has recovered
-            # is found out by one call.
-            length = FIRST_EJECTION * 2**seen.ejections
-            seen.ejections += 1
-            seen.failures = EJECT_AFTER - 1
-            seen.ejected_until = self._clock.elapsed() + min(
-                length, LONGEST_EJECTION
+            # The ejection expires by itself, and then a single call detects
+            # whether the upstream has recovered.
+            ejection = MIN_EJECTION * 2**state.ejections
+            state.ejections += 1
+            state.failures = EJECT_AFTER_FAILURES - 1
+            state.ejected_until = self._clock.elapsed() + min(
+                ejection, MAX_EJECTION
             )
 
     def service(self, name: str) -> Service | None:
         """Return a service by name.
 
         Args:
-          name: The name.
+          name: The name of the service.
 
         Returns:
-          The service, or None.
+          The service, or None if the configuration has none of this name.
         """
         services = self._base.services if self._base else ()
         return next((each for each in services if each.name == name), None)
@@ -232,7 +241,7 @@
         """Return the region of a site.
 
         Args:
-          site: The site's name.
+          site: The name of the site.
 
         Returns:
           The region, or an empty string if the site is unknown.
@@ -242,28 +251,30 @@
     def candidates(
         self, service: Service, blocks: Sequence[int]
     ) -> list[Candidate]:
-        """Return the upstreams that take new calls of a service.
+        """Return the upstreams that accept new calls of a service.
 
         Args:
           service: The service.
-          blocks: The block hashes of the request's prompt.
+          blocks: The block hashes of the prompt.
 
         Returns:
-          A candidate for each upstream that is believed to be live.
+          A candidate for each upstream that is live and not ejected.
         """
         live = [each for each in service.upstreams if self.is_live(each)]
         now = self._clock.elapsed()
         healthy = [
-            each for each in live if self._of(each.name).ejected_until <= now
+            each
+            for each in live
+            if self._state_of(each.name).ejected_until <= now
         ]
-        # With more than half ejected the fault is probably not theirs, and
-        # the rest would not bear the load.
+        # If more than half of the upstreams are ejected, the cause is
+        # probably elsewhere, and the remaining ones would be overloaded.
         if len(healthy) * 2 < len(live):
             healthy = live
         return [self._candidate(each, blocks) for each in healthy]
 
     def is_live(self, upstream: Upstream) -> bool:
-        """Return whether an upstream takes new calls.
+        """Return whether an upstream accepts new calls.
 
         Args:
           upstream: The upstream.
@@ -277,18 +288,18 @@
             return False
         if upstream.host not in self._connected or upstream.name in drained:
             return False
-        # The side itself is the first to know that it is leaving; the host
-        # list may say so seconds later, or not be readable from here.
+        # The side daemon itself is the first to know that it is leaving. The
+        # host list may follow seconds later, or may be unreadable from here.
         return upstream.name not in self._leaving.get(upstream.host, ())
 
     def _candidate(
         self, upstream: Upstream, blocks: Sequence[int]
     ) -> Candidate:
-        seen = self._of(upstream.name)
-        report = seen.report or Load(upstream.name, 0, 0, 0, 0, 0, 0)
-        silence = _NONE
-        if seen.own > 0:
-            silence = self._clock.elapsed() - seen.last_sign
+        state = self._state_of(upstream.name)
+        report = state.report or Load(upstream.name, 0, 0, 0, 0, 0, 0)
+        silence = _ZERO
+        if state.in_flight > 0:
+            silence = self._clock.elapsed() - state.last_frame_at
         return Candidate(
             upstream.name,
             upstream.site,
@@ -296,16 +307,18 @@
             upstream.concurrency,
             running=report.running,
             waiting=report.waiting,
-            unreported=seen.sent - report.acknowledged - seen.finished_since,
-            own=seen.own,
+            unreported=state.sent
+            - report.acknowledged
+            - state.finished_since_report,
+            own=state.in_flight,
             service_ms=report.service_ms,
             step_ms=report.step_ms,
             silence=silence,
-            cached_blocks=_depth(seen, blocks),
+            cached_blocks=_cached_prefix_blocks(state, blocks),
         )
 
-    def _of(self, upstream: str) -> _Seen:
-        return self._seen.setdefault(upstream, _Seen())
+    def _state_of(self, upstream: str) -> _UpstreamState:
+        return self._states.setdefault(upstream, _UpstreamState())
 
     def _upstreams_of(self, host: str) -> Iterator[Upstream]:
         for service in self._base.services if self._base else ():
@@ -313,15 +326,15 @@
                 if upstream.host == host:
                     yield upstream
 
-    def _remember_block(self, seen: _Seen, block: int) -> None:
-        seen.cached[block] = None
-        seen.cached.move_to_end(block)
-        if len(seen.cached) > CACHE_BLOCKS:
-            seen.cached.popitem(last=False)
+    def _record_cached_block(self, state: _UpstreamState, block: int) -> None:
+        state.cached[block] = None
+        state.cached.move_to_end(block)
+        if len(state.cached) > MAX_CACHED_BLOCKS:
+            state.cached.popitem(last=False)
 
 
-def _depth(seen: _Seen, blocks: Sequence[int]) -> int:
+def _cached_prefix_blocks(state: _UpstreamState, blocks: Sequence[int]) -> int:
     for index, block in enumerate(blocks):
-        if block not in seen.cached:
+        if block not in state.cached:
             return index
     return len(blocks)
--- a/linnetwind/frames.py
+++ b/linnetwind/frames.py
@@ -1,15 +1,16 @@
-"""Frames on a TCP connection between daemons: a length and the content.
+"""Length-prefixed frames on a TCP connection between daemons.
 
-Plain frames instead of websockets: `websockets.sync` takes 8.7 MB of own
-memory, and there is a rank agent on every upstream host; see docs/DESIGN.md.
+Websockets are not used here because `websockets.sync` needs 8.7 MB of
+memory, and a rank agent runs on every upstream host; see docs/DESIGN.md.
 """
 
 import socket
 import struct
 
 _LENGTH = struct.Struct('>I')
-# No message between daemons is near this; a longer one is not a frame.
-MOST_BYTES = 16_777_216
+# Far above the size of any message between daemons, so that a greater length
+# shows that the data is not a frame.
+MAX_CONTENT_BYTES = 16_777_216
 
 
 def send_frame(sock: socket.socket, content: bytes) -> None:
@@ -38,16 +39,16 @@
       OSError: The connection failed, ended, or sent no frame.
     """
     length = _LENGTH.unpack(_receive(sock, _LENGTH.size))[0]
-    if length > MOST_BYTES:
-        raise ConnectionError(f'a frame of {length} bytes')
+    if length > MAX_CONTENT_BYTES:
+        raise ConnectionError(f'frame of {length} bytes is too large')
     return _receive(sock, length)
 
 
 def _receive(sock: socket.socket, size: int) -> bytes:
-    parts = bytearray()
-    while len(parts) < size:
-        part = sock.recv(size - len(parts))
-        if not part:
+    content = bytearray()
+    while len(content) < size:
+        chunk = sock.recv(size - len(content))
+        if not chunk:
             raise ConnectionError('the connection was closed')
-        parts += part
-    return bytes(parts)
+        content += chunk
+    return bytes(content)
--- a/linnetwind/http_request.py
+++ b/linnetwind/http_request.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked request, as pure functions."""
+"""Authentication, parsing and validation of HTTP requests."""
 
 import hashlib
 import json
@@ -16,17 +16,17 @@
 
 CHAT_PATH = '/v1/chat/completions'
 MODEL_PREFIX = '/v1/'
-SLOTS = 64
+SLOTS_PER_SERVICE = 64
 BLOCK_CHARACTERS = 256
 CHARACTERS_PER_TOKEN = 4
 
-_MOST_KEY_CHARACTERS = 255
+_MAX_KEY_CHARACTERS = 255
 _SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
-_NO_WAIT = timedelta()
+_NO_RETRY_AFTER = timedelta()
 _DIGEST_BYTES = 16
 _DEFAULT_MAX_TOKENS = 512
 _MS = timedelta(milliseconds=1)
-_OWN_HEADERS = frozenset(
+_CONSUMED_HEADERS = frozenset(
     (
         'authorization',
         'x-api-key',
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A request as the HTTP server has read it."""
+    """A request as received by the HTTP server."""
 
     method: str
     path: str
@@ -51,10 +51,11 @@
 
 @dataclass(frozen=True)
 class Idempotency:
-    """The identity that the caller gave to a request.
+    """The identity of a request that has an idempotency key.
 
-    `key` is the digest of customer, service and key; `slot` the part of the
-    key space. `fingerprint` is the digest of what was asked.
+    `key` is the digest of customer, service and idempotency key, and `slot`
+    is its part of the key space. `fingerprint` is the digest of the method,
+    path, query and body, which detects reuse of a key for another request.
     """
 
     key: bytes
@@ -64,11 +65,11 @@
 
 @dataclass(frozen=True)
 class CheckedRequest:
-    """A request that may be routed.
+    """A valid request that may be routed.
 
-    `tokens` is the most that it can cost a customer, the prompt and the
-    longest answer; `prompt_tokens` the prompt's part. `blocks` are the
-    running hashes of its prompt's blocks.
+    `tokens` is the largest number of tokens that the customer can be charged
+    for it, the prompt and the longest response; `prompt_tokens` is the part
+    of the prompt. `blocks` are the prefix hashes of the prompt's blocks.
     """
 
     request_id: str
@@ -93,15 +94,15 @@
 def check_request(
     request: HttpRequest, base: Base, request_id: str
 ) -> Result[CheckedRequest, Refusal]:
-    """Find the customer and the service, and check the request.
+    """Authenticate the customer, find the service, and validate a request.
 
     Args:
       request: The request.
       base: The configuration in force at this site.
-      request_id: The id for the logs.
+      request_id: The ID of the request in the logs.
 
     Returns:
-      The request, ready to be routed, or why it is refused.
+      The request, ready to be routed, or the reason for its refusal.
     """
     customer = _find_customer(request.headers, base)
     if customer is None:
@@ -133,7 +134,7 @@
     if len(request.body) > service.max_body_bytes:
         return _refuse(Reason.TOO_LARGE)
     prompt = json.dumps(parsed['messages'], sort_keys=True)
-    longest = parsed.get('max_tokens') or _DEFAULT_MAX_TOKENS
+    max_tokens = parsed.get('max_tokens') or _DEFAULT_MAX_TOKENS
     prompt_tokens = len(prompt) // CHARACTERS_PER_TOKEN
     return Ok(
         CheckedRequest(
@@ -142,12 +143,12 @@
             service,
             request.method,
             request.path,
-            _passed_headers(request.headers),
+            _forwarded_headers(request.headers),
             request.body,
             _timeout(request.headers, service),
             repeatable=True,
             streamed=bool(parsed.get('stream')),
-            tokens=prompt_tokens + longest,
+            tokens=prompt_tokens + max_tokens,
             prompt_tokens=prompt_tokens,
             blocks=prompt_blocks(prompt),
         )
@@ -166,11 +167,11 @@
     path = f'/{rest}'
     repeatable = _is_repeatable(service, request.method, path)
     key = request.headers.get('idempotency-key')
-    if key is not None and not 0 < len(key) <= _MOST_KEY_CHARACTERS:
+    if key is not None and not 0 < len(key) <= _MAX_KEY_CHARACTERS:
         return _refuse(Reason.BAD_REQUEST)
     idempotency = None
     if key is not None and not repeatable:
-        idempotency = _identify(request, customer, service, key)
+        idempotency = _make_idempotency(request, customer, service, key)
     return Ok(
         CheckedRequest(
             request_id,
@@ -178,7 +179,7 @@
             service,
             request.method,
             f'{path}?{request.query}' if request.query else path,
-            _passed_headers(request.headers),
+            _forwarded_headers(request.headers),
             request.body,
             _timeout(request.headers, service),
             repeatable=repeatable,
@@ -190,13 +191,13 @@
 
 
 def prompt_blocks(prompt: str) -> tuple[int, ...]:
-    """Hash a prompt's whole blocks, each together with all before it.
+    """Hash each complete block of a prompt together with all blocks before it.
 
     Args:
-      prompt: The prompt's text.
+      prompt: The text of the prompt.
 
     Returns:
-      One hash for each whole block of `BLOCK_CHARACTERS` characters.
+      One hash for each complete block of `BLOCK_CHARACTERS` characters.
     """
     running = xxhash.xxh3_64()
     blocks = []
@@ -214,21 +215,21 @@
         for each in service.unrepeatable
     ):
         return False
-    # What the configuration does not name is judged by the HTTP method, and
-    # in doubt is never run twice.
+    # Calls that the configuration does not list are repeatable only if the
+    # HTTP method is safe: in doubt, a call must not run twice.
     return method in _SAFE_METHODS
 
 
-def _identify(
+def _make_idempotency(
     request: HttpRequest, customer: Customer, service: Service, key: str
 ) -> Idempotency:
     identity = '\n'.join((customer.name, service.name, key)).encode()
-    asked = '\n'.join((request.method, request.path, request.query)).encode()
+    target = '\n'.join((request.method, request.path, request.query)).encode()
     digest = hashlib.sha256(identity).digest()
-    fingerprint = hashlib.sha256(b'\n'.join((asked, request.body))).digest()
+    fingerprint = hashlib.sha256(b'\n'.join((target, request.body))).digest()
     return Idempotency(
         digest[:_DIGEST_BYTES],
-        digest[0] % SLOTS,
+        digest[0] % SLOTS_PER_SERVICE,
         fingerprint[:_DIGEST_BYTES],
     )
 
@@ -240,16 +241,16 @@
         return None
     if not isinstance(parsed, dict):
         return None
-    longest = parsed.get('max_tokens')
+    max_tokens = parsed.get('max_tokens')
     well_formed = (
         isinstance(parsed.get('model'), str)
         and isinstance(parsed.get('messages'), list)
-        and (longest is None or _is_count(longest))
+        and (max_tokens is None or _is_positive_integer(max_tokens))
     )
     return parsed if well_formed else None
 
 
-def _is_count(number: Any) -> bool:
+def _is_positive_integer(number: Any) -> bool:
     return isinstance(number, int) and number > 0
 
 
@@ -260,21 +261,21 @@
     return None
 
 
-def _passed_headers(headers: Mapping[str, str]) -> Headers:
+def _forwarded_headers(headers: Mapping[str, str]) -> Headers:
     return tuple(
         (name, text)
         for name, text in headers.items()
-        if name not in _OWN_HEADERS
+        if name not in _CONSUMED_HEADERS
     )
 
 
 def _timeout(headers: Mapping[str, str], service: Service) -> timedelta:
-    longest = timedelta(seconds=service.timeout_seconds)
-    asked = headers.get('x-deadline-ms', '')
-    if asked.isdecimal():
-        return min(longest, int(asked) * _MS)
-    return longest
+    max_timeout = timedelta(seconds=service.timeout_seconds)
+    deadline_ms = headers.get('x-deadline-ms', '')
+    if deadline_ms.isdecimal():
+        return min(max_timeout, int(deadline_ms) * _MS)
+    return max_timeout
 
 
 def _refuse(reason: Reason) -> Result[CheckedRequest, Refusal]:
-    return Err(NotRun(reason, _NO_WAIT))
+    return Err(NotRun(reason, _NO_RETRY_AFTER))
--- a/linnetwind/http_request_test.py
+++ b/linnetwind/http_request_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading requests: who asks, for what, and may it be repeated."""
+"""Tests of the authentication, parsing and validation of requests."""
 
 import hashlib
 import json
@@ -42,9 +42,11 @@
 
 
 def check(method='GET', path='/codes/x', body=b'', **headers):
-    named = {key.replace('_', '-'): text for key, text in headers.items()}
-    named.setdefault('x-api-key', KEY)
-    request = HttpRequest(method, path, 'a=1', named, body)
+    lowercase_headers = {
+        key.replace('_', '-'): text for key, text in headers.items()
+    }
+    lowercase_headers.setdefault('x-api-key', KEY)
+    request = HttpRequest(method, path, 'a=1', lowercase_headers, body)
     return check_request(request, BASE, 'id')
 
 
@@ -70,12 +72,12 @@
 
 
 @pytest.mark.parametrize('row', REPEATABLE)
-def test_what_may_be_repeated(row):
+def test_only_safe_methods_not_listed_in_the_configuration_are_repeatable(row):
     method, path, expected = row
     assert check(method, path).unwrap().repeatable is expected
 
 
-def test_key_belongs_to_customer_service_and_request():
+def test_idempotency_fingerprint_depends_on_the_body():
     first = check('POST', idempotency_key='k').unwrap().idempotency
     same = check('POST', idempotency_key='k').unwrap().idempotency
     other = check('POST', body=b'x', idempotency_key='k').unwrap().idempotency
@@ -84,7 +86,7 @@
     assert first.fingerprint != other.fingerprint
 
 
-def test_deadline_is_the_shorter_of_callers_and_services():
+def test_timeout_is_the_minimum_of_caller_and_service():
     assert check(x_deadline_ms='50').unwrap().timeout == timedelta(
         milliseconds=50
     )
@@ -94,7 +96,7 @@
     assert check(x_deadline_ms='soon').unwrap().timeout == timedelta(seconds=30)
 
 
-def test_chat_costs_its_prompt_and_longest_answer():
+def test_chat_tokens_are_the_prompt_and_max_tokens():
     checked = chat(max_tokens=7, stream=True).unwrap()
     assert checked.streamed
     assert checked.prompt_tokens > 0
@@ -121,15 +123,15 @@
 
 
 @pytest.mark.parametrize('index', range(len(REFUSED)))
-def test_bad_request_is_refused_with_its_reason(index):
-    ask, reason = REFUSED[index]
-    assert ask().unwrap_err().reason is reason
+def test_invalid_request_is_refused_with_its_reason(index):
+    check_invalid_request, reason = REFUSED[index]
+    assert check_invalid_request().unwrap_err().reason is reason
 
 
-def test_blocks_of_prompts_that_start_alike_are_alike():
+def test_prompts_with_a_common_prefix_share_block_hashes():
     start = 'a' * BLOCK_CHARACTERS * 2
-    one = prompt_blocks(f'{start}{"b" * BLOCK_CHARACTERS}')
-    two = prompt_blocks(f'{start}{"c" * BLOCK_CHARACTERS}')
-    assert len(one) == 3
-    assert one[:2] == two[:2]
-    assert one[2] != two[2]
+    first_hashes = prompt_blocks(f'{start}{"b" * BLOCK_CHARACTERS}')
+    second_hashes = prompt_blocks(f'{start}{"c" * BLOCK_CHARACTERS}')
+    assert len(first_hashes) == 3
+    assert first_hashes[:2] == second_hashes[:2]
+    assert first_hashes[2] != second_hashes[2]
--- a/linnetwind/link_pool.py
+++ b/linnetwind/link_pool.py
@@ -99,7 +99,7 @@
         """Connect to the hosts that have no link; drop those that left."""
         links = self.links
         with self.lock:
-            hosts = self._fleet.wanted_hosts(self._site)
+            hosts = self._fleet.hosts_to_connect(self._site)
             listed = set(self._fleet.hosts)
         for host in hosts - set(links):
             if self._is_due(host):
