--- a/linnetwind/entry_app.py
+++ b/linnetwind/entry_app.py
@@ -34,7 +34,7 @@
 _JSON = 'application/json'
 _SECOND = timedelta(seconds=1)
 
-_STATUS: Mapping[Reason, HTTPStatus] = MappingProxyType(
+_STATUS_BY_REASON: Mapping[Reason, HTTPStatus] = MappingProxyType(
     {
         Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
         Reason.TOO_LARGE: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -49,7 +49,7 @@
 
 
 class EntryApp:
-    """Answers callers; counts what is in flight for a graceful shutdown."""
+    """Serves callers and counts requests in flight for graceful shutdown."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         admit: Admit,
         settle: Settle,
     ) -> None:
-        """Start ready to serve.
+        """Create the application, ready to serve.
 
         Args:
-          fleet: Holds the configuration in force.
-          dispatcher: Runs the requests.
-          metrics: Counts them.
-          admit: Checks a customer's limits before a request runs.
-          settle: Told what a request has cost, in generated tokens.
+          fleet: The fleet, which holds the configuration in force.
+          dispatcher: The dispatcher that runs requests.
+          metrics: The metrics that count requests.
+          admit: Checks the limits of a customer before a request runs.
+          settle: Called after a request with the tokens that it has used.
         """
         self._fleet = fleet
         self._dispatcher = dispatcher
@@ -80,51 +80,57 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests not yet answered in full."""
+        """Return the number of requests without a complete response yet."""
         return self._in_flight
 
     @property
     def is_draining(self) -> bool:
-        """Return whether callers are to go elsewhere with what follows."""
+        """Return whether callers should send further requests elsewhere."""
         return self._draining
 
     def drain(self) -> None:
-        """Report not ready from now on."""
+        """Fail the readiness check from now on."""
         self._draining = True
 
     def refuse_new(self) -> None:
-        """Refuse requests from now on, as not run."""
+        """Refuse new requests from now on, with the outcome "not run"."""
         self._refusing = True
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request; the WSGI entry point.
+        """Serve a request; this is the WSGI entry point.
 
         Args:
-          environ: The request.
-          start_response: Takes the status and the headers.
+          environ: The WSGI environment of the request.
+          start_response: The WSGI function for the status and headers.
 
         Returns:
-          The body.
+          The response body.
         """
         path = environ['PATH_INFO']
         if path == '/healthz':
-            return _plain(start_response, HTTPStatus.OK, {'alive': True})
+            return _json_response(
+                start_response, HTTPStatus.OK, {'alive': True}
+            )
         if path == '/readyz':
-            return self._readiness(start_response)
+            return self._readiness_response(start_response)
         with self._lock:
             self._in_flight += 1
-        return _Counted(self._serve(environ, start_response), self._done)
+        return _TrackedBody(
+            self._serve(environ, start_response), self._decrement_in_flight
+        )
 
-    def _done(self) -> None:
+    def _decrement_in_flight(self) -> None:
         with self._lock:
             self._in_flight -= 1
 
-    def _readiness(self, start_response: StartResponse) -> Iterable[bytes]:
+    def _readiness_response(
+        self, start_response: StartResponse
+    ) -> Iterable[bytes]:
         ready = self._fleet.base is not None and not self._draining
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
-        return _plain(start_response, status, {'ready': ready})
+        return _json_response(start_response, status, {'ready': ready})
 
     def _serve(
         self, environ: dict[str, Any], start_response: StartResponse
@@ -132,29 +138,30 @@
         request_id = uuid.uuid4().hex
         if self._refusing:
             stopping = NotRun(Reason.SHUTTING_DOWN, _SECOND)
-            yield self._fail(start_response, request_id, stopping)
+            yield self._error_response(start_response, request_id, stopping)
             return
         checked = self._check(environ, request_id)
         if isinstance(checked, NotRun):
-            yield self._fail(start_response, request_id, checked)
+            yield self._error_response(start_response, request_id, checked)
             return
         refusal = self._admit(checked)
         if refusal is not None:
-            yield self._fail(start_response, request_id, refusal)
+            yield self._error_response(start_response, request_id, refusal)
             return
         opened = self._open(checked)
         if isinstance(opened, OpenAnswer):
-            yield from self._pass_on(start_response, checked, opened)
+            yield from self._relay(start_response, checked, opened)
         else:
             self._settle(checked, 0)
-            yield self._fail(start_response, request_id, opened)
+            yield self._error_response(start_response, request_id, opened)
 
     def _open(self, checked: CheckedRequest) -> OpenAnswer | NotRun | Unknown:
         try:
             return self._dispatcher.open(checked)
         except Exception:
-            # A fault of this program must not reach the caller as an
-            # untyped answer: nobody knows then whether the request ran.
+            # The caller must get a typed error even after a bug in this
+            # program: from an untyped response it could not tell whether the
+            # request may have run.
             logger.exception('request {} failed', checked.request_id)
             return Unknown(Reason.INTERNAL)
 
@@ -177,7 +184,7 @@
             case Err(refusal):
                 return refusal
 
-    def _pass_on(
+    def _relay(
         self,
         start_response: StartResponse,
         checked: CheckedRequest,
@@ -188,28 +195,29 @@
         tokens = checked.prompt_tokens
         try:
             for body in opened.body:
-                tokens += _generated(checked, body)
+                tokens += _generated_tokens(checked, body)
                 yield body
         except BrokenAnswer as broken:
-            self._report(checked.request_id, broken.outcome)
+            self._record_failure(checked.request_id, broken.outcome)
             if checked.streamed:
-                yield _broken_event(checked.request_id, broken.outcome)
-            # Raising leaves the chunked body without its end, so that the
-            # caller cannot take half an answer for the whole.
+                yield _error_event(checked.request_id, broken.outcome)
+            # The exception makes the server omit the final chunk of the
+            # body, so that the caller can't mistake the partial response for
+            # a complete one.
             raise
         else:
-            self._metrics.answered(checked.service.name)
+            self._metrics.record_answered(checked.service.name)
         finally:
             self._settle(checked, tokens)
 
-    def _fail(
+    def _error_response(
         self,
         start_response: StartResponse,
         request_id: str,
         outcome: NotRun | Unknown,
     ) -> bytes:
-        self._report(request_id, outcome)
-        body = json.dumps(_error(request_id, outcome)).encode()
+        self._record_failure(request_id, outcome)
+        body = json.dumps(_error_body(request_id, outcome)).encode()
         headers = [
             ('Content-Type', _JSON),
             ('Content-Length', str(len(body))),
@@ -222,8 +230,10 @@
         start_response(_status_line(status), headers)
         return body
 
-    def _report(self, request_id: str, outcome: NotRun | Unknown) -> None:
-        self._metrics.failed(type(outcome).__name__, outcome.reason)
+    def _record_failure(
+        self, request_id: str, outcome: NotRun | Unknown
+    ) -> None:
+        self._metrics.record_failed(type(outcome).__name__, outcome.reason)
         log_decision(
             'gave_up',
             {
@@ -234,28 +244,30 @@
         )
 
 
-class _Counted:
-    """A body that reports once when it has ended or was given up."""
+class _TrackedBody:
+    """A response body that calls a function once when it is closed."""
 
-    def __init__(self, body: Iterator[bytes], done: Callable[[], None]) -> None:
+    def __init__(
+        self, body: Iterator[bytes], on_close: Callable[[], None]
+    ) -> None:
         self._body = body
-        self._done: Callable[[], None] | None = done
+        self._on_close: Callable[[], None] | None = on_close
 
     def __iter__(self) -> Iterator[bytes]:
         return self._body
 
     def close(self) -> None:
-        """Tell that the request is over; called by the WSGI server."""
+        """Report the end of the request; called by the WSGI server."""
         try:
             self._body.close()  # type: ignore[attr-defined]
         finally:
-            done = self._done
-            self._done = None
-            if done is not None:
-                done()
+            on_close = self._on_close
+            self._on_close = None
+            if on_close is not None:
+                on_close()
 
 
-def _generated(checked: CheckedRequest, body: bytes) -> int:
+def _generated_tokens(checked: CheckedRequest, body: bytes) -> int:
     if checked.service.kind is not ServiceKind.MODEL:
         return 0
     if checked.streamed:
@@ -284,14 +296,14 @@
 def _http_status(outcome: NotRun | Unknown) -> HTTPStatus:
     match outcome:
         case NotRun(reason=reason):
-            return _STATUS.get(reason, HTTPStatus.SERVICE_UNAVAILABLE)
+            return _STATUS_BY_REASON.get(reason, HTTPStatus.SERVICE_UNAVAILABLE)
         case Unknown(Reason.RAN_BEFORE):
             return HTTPStatus.CONFLICT
         case Unknown():
             return HTTPStatus.BAD_GATEWAY
 
 
-def _error(request_id: str, outcome: NotRun | Unknown) -> dict[str, Any]:
+def _error_body(request_id: str, outcome: NotRun | Unknown) -> dict[str, Any]:
     error: dict[str, Any] = {
         'type': str(outcome.reason),
         'request_id': request_id,
@@ -304,12 +316,12 @@
     return {'error': error}
 
 
-def _broken_event(request_id: str, outcome: NotRun | Unknown) -> bytes:
-    text = json.dumps(_error(request_id, outcome))
+def _error_event(request_id: str, outcome: NotRun | Unknown) -> bytes:
+    text = json.dumps(_error_body(request_id, outcome))
     return f'event: error\ndata: {text}\n\n'.encode()
 
 
-def _plain(
+def _json_response(
     start_response: StartResponse, status: HTTPStatus, facts: dict[str, Any]
 ) -> Iterable[bytes]:
     body = json.dumps(facts).encode()
--- a/linnetwind/entry_daemon.py
+++ b/linnetwind/entry_daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers' HTTP on one side, side daemons on the other."""
+"""The entry daemon, which relays HTTP requests of callers to side daemons."""
 
 import random
 import threading
@@ -38,25 +38,25 @@
 from linnetwind.platform_clients import make_follower, make_hosts
 from linnetwind.settings import EntrySettings
 
-_CONNECTORS = 8
+_CONNECT_THREADS = 8
 _TICK_SECONDS = 0.05
 
 
 class EntryDaemon:
-    """All parts of an entry daemon, wired together."""
+    """Builds and connects the components of an entry daemon."""
 
     def __init__(self, settings: EntrySettings) -> None:
-        """Build the parts; nothing runs yet.
+        """Build the components without starting them.
 
         Args:
-          settings: The daemon's own settings.
+          settings: The settings of the daemon.
         """
         self._settings = settings
         self._clock = SystemClock()
         incarnation = uuid.uuid4().hex
         platform = settings.platform
         self._identity = Identity('entry', settings.name, incarnation)
-        self._executor = ThreadPoolExecutor(_CONNECTORS, 'connect')
+        self._executor = ThreadPoolExecutor(_CONNECT_THREADS, 'connect')
         self._fleet = Fleet(self._clock)
         self._links = LinkPool(
             self._identity,
@@ -65,7 +65,7 @@
             self._fleet,
             self._executor,
             self._clock,
-            self._notice,
+            self._handle_message,
         )
         self._hosts = make_hosts(platform)
         self._follower = make_follower(platform, self._clock, incarnation)
@@ -88,25 +88,26 @@
         self._server = EntryServer(self._app, settings, self._clock)
 
     def start(self) -> None:
-        """Start following the platform and serving callers."""
+        """Start following the configuration and serving callers."""
         settings = self._settings
         poll = timedelta(seconds=settings.platform.poll_seconds)
-        self._follower.listen(self._take_state)
+        self._follower.listen(self._apply_state)
         start_http_server(
             settings.metrics.port,
             settings.metrics.ip,
             registry=self._metrics.registry,
         )
         in_background(lambda: self._follower.run(poll), 'follower')
-        in_background(lambda: self._watch_hosts(poll), 'hosts')
+        in_background(lambda: self._run_periodic_tasks(poll), 'hosts')
         self._server.start()
         logger.info('entry serves on {}', settings.listen)
 
     def shut_down(self) -> None:
-        """Leave without cutting a request: see docs/OPERATIONS.md.
+        """Shut down without aborting requests: see docs/OPERATIONS.md.
 
-        Not ready first, so that the balancer sends nothing new; then nothing
-        new is taken; the process ends when every answer has been written out.
+        First the readiness check fails, so that the balancer in front sends
+        no new requests. Then new requests are refused, and the process ends
+        when all responses have been written, or at the drain limit.
         """
         self._app.drain()
         logger.info('draining')
@@ -118,29 +119,29 @@
         self._links.close()
         logger.info('drained')
 
-    def _take_state(self, state: ConfigState) -> None:
+    def _apply_state(self, state: ConfigState) -> None:
         if state.deployment is None:
             return
         base = at_site(state.deployment, self._settings.site)
         with self._links.lock:
             self._fleet.take_base(base)
-        self._metrics.in_force(state.revision)
+        self._metrics.record_revision(state.revision)
         logger.info('configuration revision {} in force', state.revision)
 
-    def _watch_hosts(self, interval: timedelta) -> None:
-        due = self._clock.elapsed()
-        hosts_due = due
+    def _run_periodic_tasks(self, interval: timedelta) -> None:
+        next_exchange_at = self._clock.elapsed()
+        next_host_read_at = next_exchange_at
         while not self._stopping.is_set():
             now = self._clock.elapsed()
-            if now >= hosts_due:
+            if now >= next_host_read_at:
                 guarded(self._read_hosts)
-                hosts_due = now + host_list_interval(
+                next_host_read_at = now + host_list_interval(
                     interval, len(self._fleet.hosts)
                 )
-            if now >= due:
+            if now >= next_exchange_at:
                 guarded(self._limits.exchange)
-                guarded(self._ask_neighbour)
-                due = now + interval
+                guarded(self._query_configuration)
+                next_exchange_at = now + interval
             guarded(self._links.maintain)
             self._stopping.wait(_TICK_SECONDS * 2)
 
@@ -152,25 +153,26 @@
             case Err(failed):
                 logger.warning('{}', failed.describe())
 
-    def _ask_neighbour(self) -> None:
+    def _query_configuration(self) -> None:
         offset = self._follower.state.next_offset
-        for link in self._some_link():
+        for link in self._sample_link():
             link.post(ConfigQuery(offset))
 
-    def _some_link(self) -> list[Link]:
-        # One neighbour a round is enough: it costs a few bytes, and bounds
-        # how long a daemon that is cut off from the log stays behind.
+    def _sample_link(self) -> list[Link]:
+        # One side daemon per round is enough: the query takes a few bytes,
+        # and limits how long a daemon without access to the log keeps an old
+        # configuration.
         links = list(self._links.links.values())
         return random.sample(links, min(1, len(links)))
 
-    def _bring_up_to_date(self, link: Link, offset: int) -> None:
-        # A side that was started during a log outage has no configuration
-        # and nobody else to ask.
+    def _send_newer_configuration(self, link: Link, offset: int) -> None:
+        # A side daemon that was started during a log outage has no
+        # configuration and no other source for it.
         state = self._follower.state
         if state.revision > 0 and state.next_offset > offset:
             link.post(ConfigCopy(state.next_offset, self._follower.copy()))
 
-    def _notice(self, host: str, link: Link, message: Any) -> None:
+    def _handle_message(self, host: str, link: Link, message: Any) -> None:
         match message:
             case Load():
                 with self._links.lock:
@@ -179,8 +181,8 @@
                 with self._links.lock:
                     self._fleet.apply_leaving(host, upstreams)
             case Shares():
-                self._limits.take_shares(message)
+                self._limits.apply_shares(message)
             case Challenge(config_offset=offset):
-                self._bring_up_to_date(link, offset)
+                self._send_newer_configuration(link, offset)
             case ConfigCopy(state=state):
                 self._follower.adopt(state)
--- a/linnetwind/entry_http.py
+++ b/linnetwind/entry_http.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server of an entry daemon: waitress, and how it stops."""
+"""The callers' HTTP server of an entry daemon, with graceful shutdown."""
 
 import socket
 import time
@@ -14,15 +14,15 @@
 from linnetwind.entry_app import EntryApp
 from linnetwind.settings import EntrySettings
 
-LARGEST_BODY = 16_777_216
+MAX_BODY_BYTES = 16_777_216
 
-# A caller that sends nothing of a request for this long is closed.
-_HALF_SENT_SECONDS = 30
+# The connection of a caller that sends nothing for this long is closed.
+_CHANNEL_TIMEOUT_SECONDS = 30
 _TICK_SECONDS = 0.05
 
 
 class EntryServer:
-    """Serves an entry daemon's callers."""
+    """Serves the callers of an entry daemon with waitress."""
 
     def __init__(
         self, app: EntryApp, settings: EntrySettings, clock: Clock
@@ -30,9 +30,9 @@
         """Open the listening socket.
 
         Args:
-          app: Answers the requests.
-          settings: The daemon's own settings.
-          clock: For the time that stopping may take.
+          app: The application that serves the requests.
+          settings: The settings of the daemon.
+          clock: The clock for the time limit of the shutdown.
         """
         self._app = app
         self._clock = clock
@@ -41,47 +41,48 @@
             host=settings.listen.ip,
             port=settings.listen.port,
             threads=settings.threads,
-            max_request_body_size=LARGEST_BODY,
-            channel_timeout=_HALF_SENT_SECONDS,
+            max_request_body_size=MAX_BODY_BYTES,
+            channel_timeout=_CHANNEL_TIMEOUT_SECONDS,
             ident='linnetwind',
             clear_untrusted_proxy_headers=False,
         )
         self._server.channel_class = _Channel
 
     def start(self) -> None:
-        """Serve in a thread of its own."""
+        """Start serving in a background thread."""
         in_background(self._server.run, 'http')
 
     def finish(self, limit: timedelta) -> None:
-        """Take no more connections and requests, and finish what runs.
+        """Stop accepting connections and requests; finish requests in flight.
 
-        Callers that keep a connection and never pause kept a daemon from
-        stopping, until it was killed with whatever ran then. Refused as not
-        run, and told that the connection ends, they go elsewhere; what runs
-        ends by its own time limit.
+        Callers that send requests on a keep-alive connection without a pause
+        would otherwise keep the daemon from stopping until it is killed,
+        together with its requests in flight. Their new requests are refused
+        as not run and with `Connection: close`, so that they go elsewhere.
+        Requests in flight end by their own timeouts.
 
         Args:
-          limit: The time after which what is left is given up.
+          limit: The time after which remaining requests are aborted.
         """
-        over = self._clock.elapsed() + limit
+        deadline = self._clock.elapsed() + limit
         self._server.accepting = False
         self._server.socket.shutdown(socket.SHUT_RDWR)
         self._app.refuse_new()
-        while self._is_busy() and self._clock.elapsed() < over:
+        while self._is_busy() and self._clock.elapsed() < deadline:
             time.sleep(_TICK_SECONDS)
-        # Idle connections are closed in order, so that their callers do not
-        # send into a connection that is about to be reset.
+        # Idle connections are closed cleanly, so that their callers do not
+        # send requests on a connection that is about to be reset.
         for channel in list(self._server.active_channels.values()):
             channel.close_when_flushed = True
         self._server.pull_trigger()
-        while self._server.active_channels and self._clock.elapsed() < over:
+        while self._server.active_channels and self._clock.elapsed() < deadline:
             time.sleep(_TICK_SECONDS)
         if self._is_busy():
-            logger.warning('{} answers are cut', self._app.in_flight)
+            logger.warning('{} responses are aborted', self._app.in_flight)
 
     def _is_busy(self) -> bool:
-        # The application is done before the server has written its buffers;
-        # exiting then would cut the end of an answer.
+        # The application finishes before the server has flushed its buffers;
+        # exiting between the two would truncate a response.
         channels = list(self._server.active_channels.values())
         unsent = any(
             channel.requests or channel.total_outbufs_len
@@ -91,18 +92,18 @@
 
 
 class _Task(WSGITask):
-    """Writes an answer: the last of its connection while the daemon drains."""
+    """Writes a response; during draining, it closes the connection."""
 
     def build_response_header(self) -> bytes:
-        """Return the head of the answer."""
+        """Return the status line and headers of the response."""
         if self.channel.server.application.is_draining:
-            # As if the caller had asked for it; applications may not set the
-            # header themselves.
+            # WSGI applications must not set `Connection` themselves, so this
+            # acts as if the caller had requested it.
             self.request.headers['CONNECTION'] = 'close'
         return super().build_response_header()
 
 
 class _Channel(HTTPChannel):
-    """A caller's connection."""
+    """The connection of a caller."""
 
     task_class = _Task
--- a/linnetwind/entry_limits.py
+++ b/linnetwind/entry_limits.py
@@ -1,4 +1,8 @@
-"""The limiter of an entry daemon at work: threads, homes and log lines."""
+"""Enforcement of customers' limits at an entry daemon.
+
+The module adds locking, logging and the exchange with the side daemons that
+own the customers' limits to the limiter.
+"""
 
 import threading
 from collections import defaultdict
@@ -12,36 +16,38 @@
 from linnetwind.outcome import NotRun, Reason
 from linnetwind.shares import home_of
 
-# Until a home has told better, a daemon takes this part of each limit: a
-# few entry hosts stand behind the balancer.
-FIRST_FRACTION = 0.5
+# The fraction of each limit that a daemon uses until it has received its
+# share from the owner. Only a few entry hosts behind the balancer share a
+# limit.
+INITIAL_FRACTION = 0.5
 
 
 class EntryLimits:
     """Admits and settles requests; exchanges demand and shares."""
 
     def __init__(self, name: str, links: LinkPool, clock: Clock) -> None:
-        """Start with full accounts.
+        """Create the limits with full accounts.
 
         Args:
-          name: The entry daemon's name.
-          links: The connections to the homes.
-          clock: For refilling.
+          name: The name of the entry daemon.
+          links: The connections to the side daemons that own the limits.
+          clock: The clock for refilling the accounts.
         """
         self._name = name
         self._links = links
-        self._limiter = Limiter(clock, FIRST_FRACTION)
+        self._limiter = Limiter(clock, INITIAL_FRACTION)
         self._admitted: dict[str, Admitted] = {}
         self._lock = threading.Lock()
 
     def admit(self, request: CheckedRequest) -> NotRun | None:
-        """Check a customer's limits before a request runs.
+        """Check the limits of a customer before a request runs.
 
         Args:
           request: The request.
 
         Returns:
-          A refusal with the time to come back, or None.
+          A refusal with the time after which to retry, or None if the
+          request may run.
         """
         with self._lock:
             decision = self._limiter.admit(request.customer, request.tokens)
@@ -51,11 +57,11 @@
         return _over_limit(request, decision)
 
     def settle(self, request: CheckedRequest, tokens: int) -> None:
-        """Correct the account after a request.
+        """Correct the account of the customer after a request.
 
         Args:
           request: The request.
-          tokens: The tokens generated.
+          tokens: The tokens that the request has used.
         """
         with self._lock:
             admitted = self._admitted.pop(request.request_id, None)
@@ -63,24 +69,24 @@
                 self._limiter.settle(request.customer, admitted, tokens)
 
     def exchange(self) -> None:
-        """Tell the homes this daemon's demand; called once a second."""
+        """Send this daemon's demand to the owners; called once a second."""
         with self._lock:
             demand = self._limiter.take_demand()
         links = {link.peer.name: link for link in self._links.links.values()}
-        by_home: dict[str, list[CustomerDemand]] = defaultdict(list)
+        demands_by_owner: dict[str, list[CustomerDemand]] = defaultdict(list)
         for customer, (requests, tokens) in demand.items():
-            home = home_of(customer, list(links))
-            if home is not None:
+            owner = home_of(customer, list(links))
+            if owner is not None:
                 each = CustomerDemand(customer, requests, tokens)
-                by_home[home].append(each)
-        for home, demands in by_home.items():
-            links[home].post(Demand(self._name, tuple(demands)))
+                demands_by_owner[owner].append(each)
+        for owner, demands in demands_by_owner.items():
+            links[owner].post(Demand(self._name, tuple(demands)))
 
-    def take_shares(self, shares: Shares) -> None:
-        """Take a home's answer.
+    def apply_shares(self, shares: Shares) -> None:
+        """Apply the shares that an owner has sent.
 
         Args:
-          shares: The parts of some customers' limits.
+          shares: The fractions of some customers' limits.
         """
         fractions = {each.customer: each.fraction for each in shares.shares}
         with self._lock:
--- a/linnetwind/entry_metrics.py
+++ b/linnetwind/entry_metrics.py
@@ -6,10 +6,10 @@
 
 
 class EntryMetrics:
-    """Counts of answers and failures, and the revision in force."""
+    """Counters of responses and failures, and the configuration revision."""
 
     def __init__(self) -> None:
-        """Register the metrics in a registry of their own."""
+        """Register the metrics in a new registry."""
         self.registry = CollectorRegistry()
         self._answered = Counter(
             'linnetwind_answered',
@@ -29,27 +29,27 @@
             registry=self.registry,
         )
 
-    def answered(self, service: str) -> None:
-        """Count a whole answer.
+    def record_answered(self, service: str) -> None:
+        """Count a complete response.
 
         Args:
-          service: The service's name.
+          service: The name of the service.
         """
         self._answered.labels(service).inc()
 
-    def failed(self, outcome: str, reason: Reason) -> None:
-        """Count a request that was given up.
+    def record_failed(self, outcome: str, reason: Reason) -> None:
+        """Count a failed request.
 
         Args:
-          outcome: The outcome's type.
-          reason: Why.
+          outcome: The name of the outcome's type.
+          reason: The reason of the failure.
         """
         self._failed.labels(outcome, str(reason)).inc()
 
-    def in_force(self, revision: int) -> None:
-        """Show the configuration revision.
+    def record_revision(self, revision: int) -> None:
+        """Set the metric of the configuration revision.
 
         Args:
-          revision: The revision.
+          revision: The revision in force.
         """
         self._revision.set(revision)
--- a/linnetwind/messages.py
+++ b/linnetwind/messages.py
@@ -1,6 +1,7 @@
-"""The typed messages between entry and side daemons, and between sides.
+"""Message types of the protocol between entry daemons and side daemons.
 
-Times are relative (milliseconds from now), since hosts' clocks differ.
+Side daemons also use them among each other. Times are relative, in
+milliseconds from the time of sending, since the clocks of hosts differ.
 """
 
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of whoever connects."""
+    """The first message of the handshake, sent by the connecting daemon."""
 
     version: int
     role: str
@@ -23,9 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Challenge:
-    """The listener's answer: its identity, its proof and its own nonce.
+    """The reply to `Hello`: the listener's identity, proof and own nonce.
 
-    `config_offset` is how far it has folded the configuration.
+    `config_offset` is the log offset up to which the listener has folded the
+    configuration.
     """
 
     version: int
@@ -38,25 +40,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """The caller's proof that it knows the fleet key."""
+    """The connecting daemon's proof that it knows the fleet key."""
 
     proof: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The listener accepts the caller."""
+    """The listener accepts the connection; the handshake is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
     """One attempt to run a request at one upstream.
 
-    `timeout_ms` is what is left until the caller's deadline. `key` is the
-    digest of the customer's idempotency key and `slot` the part of the key
-    space that it falls into; both are None for a call without a key.
-    `fingerprint` is the digest of the request, so that a key used for
-    another request is noticed.
+    `timeout_ms` is the time left until the deadline of the caller. `key` is
+    the digest of the customer's idempotency key, and `slot` is the part of
+    the key space that it belongs to; both are None for a call without a key.
+    `fingerprint` is the digest of the request, by which reuse of a key for
+    another request is detected.
     """
 
     call_id: str
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The upstream's status and headers."""
+    """The status and headers of the upstream's response."""
 
     call_id: str
     status: int
@@ -88,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A part of the answer's body; `seq` counts from 0."""
+    """A part of the response body; `seq` counts from 0."""
 
     call_id: str
     seq: int
@@ -97,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The end mark: the answer is whole and had `chunks` chunks."""
+    """The end of a complete response, which has `chunks` chunks."""
 
     call_id: str
     chunks: int
@@ -105,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The call did not start and will not start."""
+    """The call has not started and never will."""
 
     call_id: str
     reason: Reason
@@ -114,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The call may have run, and its whole answer cannot be had."""
+    """The call may have run, but its complete response is unavailable."""
 
     call_id: str
     reason: Reason
@@ -122,21 +124,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """The caller of this call has gone away."""
+    """Cancels a call because its caller has disconnected."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class FateQuery:
-    """Asks whether a call started, and bars it from starting later."""
+    """Queries whether a call started, and bars it from starting later."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Fate:
-    """Whether a call started; if not, it is barred from now on."""
+    """The reply: whether the call started; if not, it never will."""
 
     call_id: str
     started: bool
@@ -144,11 +146,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an upstream carries, as measured `age_ms` ago.
+    """A load report of an upstream, as measured `age_ms` ago.
 
-    `step_ms` is the time of one engine step, for a group the slowest
-    rank's. `service_ms` is the smoothed time of one request.
-    `acknowledged` is the number of calls received on this connection.
+    `step_ms` is the time of one engine step; for a group, that of the
+    slowest rank. `service_ms` is the moving average of the time of a
+    request. `acknowledged` is the number of calls received on this
+    connection. `cached` and `uncached` are the hashes of prompt blocks that
+    entered or left the cache since the last report.
     """
 
     upstream: str
@@ -164,21 +168,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """These upstreams take no new calls from now on."""
+    """The complete list of upstreams that refuse new calls from now on."""
 
     upstreams: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigQuery:
-    """Asks for the configuration if it is newer than `offset`."""
+    """Requests the configuration if it is newer than `offset`."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigCopy:
-    """A configuration state as of a log offset, for who cannot read it."""
+    """The configuration at a log offset, for a daemon without log access."""
 
     offset: int
     state: bytes
@@ -186,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerDemand:
-    """What one customer asked of one entry daemon in the last interval."""
+    """The demand of a customer at one entry daemon in the last interval."""
 
     customer: str
     requests: float
@@ -195,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """An entry daemon's demand, for the home of its customers' limits."""
+    """An entry daemon's demand, sent to the owner of the customers' limits."""
 
     entry: str
     demands: tuple[CustomerDemand, ...]
@@ -203,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerShare:
-    """The fraction of a customer's limits that one entry may hand out."""
+    """The fraction of a customer's limits that an entry daemon may use."""
 
     customer: str
     fraction: float
@@ -211,16 +215,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """The home's answer to `Demand`."""
+    """The owner's reply to `Demand`."""
 
     shares: tuple[CustomerShare, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class GroupNote:
-    """A message of the expert-map switch, from one rank's side to another.
+    """A message between ranks about the switch to a new expert map.
 
-    `note` is a message of `mapswitch` in the same encoding.
+    `sender` and `target` are rank numbers in the group; `note` is a message
+    of `mapswitch` in the same encoding.
     """
 
     group: str
--- a/linnetwind/side_daemon.py
+++ b/linnetwind/side_daemon.py
@@ -1,4 +1,4 @@
-"""The side daemon: the only process that speaks to its upstreams."""
+"""The side daemon, the only process that sends calls to its upstreams."""
 
 import threading
 import time
@@ -34,34 +34,34 @@
 from linnetwind.side_groups import SideGroups
 from linnetwind.side_server import SideHandlers, SideServer
 
-_WORKERS = 256
-_FIRST_CONCURRENCY = 8
+_CALL_THREADS = 256
+_INITIAL_CONCURRENCY = 8
 _TICK_SECONDS = 0.05
-_REPORT_SECONDS = 0.5
-_SECONDS_PER_HOST = 0.015
+_MIN_REPORT_SECONDS = 0.5
+_REPORT_SECONDS_PER_HOST = 0.015
 _MS = timedelta(milliseconds=1)
-_NONE = EngineNews()
+_NO_UPDATES = EngineNews()
 
 
 class SideDaemon:
-    """All parts of a side daemon, wired together."""
+    """Builds and connects the components of a side daemon."""
 
     def __init__(self, settings: SideSettings) -> None:
-        """Build the parts; nothing runs yet.
+        """Build the components without starting them.
 
         Args:
-          settings: The daemon's own settings.
+          settings: The settings of the daemon.
         """
         self._settings = settings
         self._clock = SystemClock()
         incarnation = uuid.uuid4().hex
         platform = settings.platform
         key = Path(platform.fleet_key_file).read_bytes()
-        self._executor = ThreadPoolExecutor(_WORKERS, 'call')
+        self._executor = ThreadPoolExecutor(_CALL_THREADS, 'call')
         self._calls = {
             served.name: UpstreamCalls(
                 served.address,
-                Gate(_FIRST_CONCURRENCY, self._clock),
+                Gate(_INITIAL_CONCURRENCY, self._clock),
                 self._executor,
                 self._clock,
             )
@@ -102,7 +102,7 @@
             self._follower,
             SideHandlers(
                 ShareHome(self._clock).take,
-                self._groups.take_note,
+                self._groups.deliver_note,
                 self._keyed.handle,
             ),
         )
@@ -118,29 +118,30 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Start following the platform and serving entry daemons."""
+        """Start following the configuration and serving entry daemons."""
         settings = self._settings
         poll = timedelta(seconds=settings.platform.poll_seconds)
-        self._follower.listen(self._take_state)
+        self._follower.listen(self._apply_state)
         start_http_server(
             settings.metrics.port, settings.metrics.ip, registry=self._registry
         )
         in_background(lambda: self._follower.run(poll), 'follower')
         in_background(lambda: self._watch_hosts(poll), 'hosts')
-        in_background(self._tick, 'deadlines')
-        in_background(self._report_for_ever, 'reports')
+        in_background(self._expire_calls, 'deadlines')
+        in_background(self._send_reports, 'reports')
         self._server.start(settings.listen)
         logger.info('side serves on {}', settings.listen)
 
     def shut_down(self) -> None:
-        """Refuse new calls, finish the running ones, then end."""
+        """Refuse new calls, finish the running ones, then stop."""
         self._draining = True
         self._apply_leaving()
         logger.info('draining')
         while any(calls.busy for calls in self._calls.values()):
             time.sleep(_TICK_SECONDS)
-        # Entry daemons that were about to send get their refusal, rather
-        # than a closed connection after which the fate would be unknown.
+        # Entry daemons that send a call at this moment get a refusal, rather
+        # than a closed connection, after which they would not know whether
+        # the call ran.
         time.sleep(self._settings.drain_notice_seconds)
         while any(calls.busy for calls in self._calls.values()):
             time.sleep(_TICK_SECONDS)
@@ -151,24 +152,24 @@
         self._server.stop()
         logger.info('drained')
 
-    def _tick(self) -> None:
+    def _expire_calls(self) -> None:
         while not self._stopping.wait(_TICK_SECONDS):
             for calls in self._calls.values():
                 if calls.gate.waiting:
                     guarded(calls.expire)
 
-    def _take_state(self, state: ConfigState) -> None:
+    def _apply_state(self, state: ConfigState) -> None:
         if state.deployment is None:
             return
         base = at_site(state.deployment, self._settings.site)
-        for upstream in _upstreams(base):
+        for upstream in _all_upstreams(base):
             calls = self._calls.get(upstream.name)
             if calls is not None:
                 calls.gate.concurrency = upstream.concurrency
         self._models = _model_upstreams(base)
         self._drained = frozenset(base.drained)
         self._apply_leaving()
-        self._groups.take_base(base)
+        self._groups.update_base(base)
         self._revision.set(state.revision)
         logger.info('configuration revision {} in force', state.revision)
 
@@ -180,7 +181,7 @@
 
     def _read_hosts(self) -> None:
         hosts = self._hosts.read().unwrap_or(())
-        self._groups.take_hosts(hosts)
+        self._groups.update_hosts(hosts)
         self._fleet_size = max(len(hosts), self._fleet_size)
         for host in hosts:
             if host.name == self._settings.host:
@@ -207,22 +208,29 @@
             name for name, calls in self._calls.items() if calls.gate.leaving
         )
 
-    def _report_for_ever(self) -> None:
+    def _send_reports(self) -> None:
         # Each report costs every entry daemon more than half a millisecond
-        # (docs/CAPACITY.md). With the size of the fleet the interval grows,
-        # and with it the weight of what the entry daemons know themselves.
+        # (docs/CAPACITY.md). Hence the interval grows with the fleet, and
+        # entry daemons then rely more on their own counts of calls than on
+        # reports.
         while not self._stopping.wait(self._report_seconds):
-            guarded(self._report)
+            guarded(self._send_report)
 
     @property
     def _report_seconds(self) -> float:
-        return max(_REPORT_SECONDS, self._fleet_size * _SECONDS_PER_HOST)
+        return max(
+            _MIN_REPORT_SECONDS, self._fleet_size * _REPORT_SECONDS_PER_HOST
+        )
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         self._keyed.flush()
         for name, calls in self._calls.items():
             gate = calls.gate
-            news = self._feeds[name].news() if name in self._models else _NONE
+            news = (
+                self._feeds[name].news()
+                if name in self._models
+                else _NO_UPDATES
+            )
             self._running.labels(name).set(gate.running)
             self._server.report(
                 Load(
@@ -239,7 +247,7 @@
             )
 
 
-def _upstreams(base: Base) -> list[Upstream]:
+def _all_upstreams(base: Base) -> list[Upstream]:
     return [
         upstream for service in base.services for upstream in service.upstreams
     ]
--- a/linnetwind/side_groups.py
+++ b/linnetwind/side_groups.py
@@ -1,4 +1,4 @@
-"""The groups in which a side daemon's upstreams take part."""
+"""The groups of which upstreams of a side daemon are ranks."""
 
 from collections.abc import Sequence
 from concurrent.futures import Executor
@@ -19,7 +19,7 @@
 
 
 class SideGroups:
-    """Starts a runner for each rank that this side serves."""
+    """Starts and updates a runner for each rank that this side serves."""
 
     def __init__(
         self,
@@ -30,15 +30,15 @@
         clock: Clock,
         log: LogPort,
     ) -> None:
-        """Start without groups; the configuration names them.
+        """Create the object without groups; `update_base` adds them.
 
         Args:
-          identity: Who this daemon is.
+          identity: The identity of this daemon.
           key: The fleet key.
           served: The upstreams of this host.
-          executor: Connects to other sides.
-          clock: For the runners.
-          log: For the groups' streams.
+          executor: The executor that connects to other side daemons.
+          clock: The clock for the runners.
+          log: The log service with the streams of the groups.
         """
         self._identity = identity
         self._served = served
@@ -50,17 +50,18 @@
             identity, key, executor, clock, self._address_of
         )
 
-    def take_hosts(self, hosts: Sequence[Host]) -> None:
-        """Take note of the addresses of the other sides.
+    def update_hosts(self, hosts: Sequence[Host]) -> None:
+        """Update the addresses of the other side daemons.
 
         Args:
-          hosts: The platform's latest list; empty if it cannot be read.
+          hosts: The latest host list of the platform; empty if it cannot be
+            read. Known addresses are kept.
         """
         for host in hosts:
             self._addresses[host.name] = host.address
 
-    def take_base(self, base: Base) -> None:
-        """Start runners for new groups, and pass on changed settings.
+    def update_base(self, base: Base) -> None:
+        """Start runners for new groups, and update those of known groups.
 
         Args:
           base: The configuration in force.
@@ -73,13 +74,13 @@
         for group in base.groups:
             for served in self._served:
                 if served.name in group.ranks and served.rank_engine:
-                    self._take_group(group, served, hosts)
+                    self._update_group(group, served, hosts)
 
-    def take_note(self, note: GroupNote) -> None:
-        """Take a note from another side.
+    def deliver_note(self, note: GroupNote) -> None:
+        """Deliver a note from another side daemon to the runner it addresses.
 
         Args:
-          note: The note.
+          note: The note; dropped if its target has no runner here.
         """
         runner = self._runners.get((note.group, note.target))
         if runner is not None:
@@ -93,7 +94,7 @@
     def _address_of(self, host: str) -> Address | None:
         return self._addresses.get(host)
 
-    def _take_group(
+    def _update_group(
         self, group: Group, served: ServedUpstream, hosts: dict[str, str]
     ) -> None:
         rank = group.ranks.index(served.name)
--- a/linnetwind/side_server.py
+++ b/linnetwind/side_server.py
@@ -1,4 +1,4 @@
-"""The side daemon's websocket server: whom it trusts and what it answers."""
+"""The side daemon's websocket server for entry daemons and other sides."""
 
 import threading
 from collections import Counter
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class SideHandlers:
-    """What the server hands to the other parts of the side daemon."""
+    """The handlers of messages that other components reply to."""
 
     demand: DemandHandler
     note: NoteHandler
@@ -54,14 +54,14 @@
 
 @dataclass
 class _Peer:
-    """Who is at the other end, and how many calls came from there."""
+    """The peer of a connection, and the calls received on it by upstream."""
 
     hello: Hello
-    taken: Counter[str] = field(default_factory=Counter)
+    received_calls: Counter[str] = field(default_factory=Counter)
 
 
 class SideServer:
-    """Serves entry daemons, other sides and operators' commands."""
+    """Serves connections of entry daemons and of other side daemons."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         follower: Follower,
         handlers: SideHandlers,
     ) -> None:
-        """Prepare the server; nothing is bound yet.
+        """Create the server without binding an address.
 
         Args:
-          identity: Who this daemon is.
+          identity: The identity of this daemon.
           key: The fleet key.
-          upstreams: The calls at each upstream of this host.
-          follower: The configuration in force.
-          handlers: The parts that answer other messages.
+          upstreams: The calls of each upstream of this host, by name.
+          follower: The follower, which holds the configuration in force.
+          handlers: The handlers of messages for other components.
         """
         self._identity = identity
         self._key = key
@@ -90,13 +90,13 @@
         self._lock = threading.Lock()
 
     def start(self, address: Address) -> int:
-        """Bind the address and serve in a thread.
+        """Bind the address and serve in a background thread.
 
         Args:
-          address: Where to listen; port 0 takes any.
+          address: The address to listen on; port 0 selects a free port.
 
         Returns:
-          The port.
+          The port in use.
         """
         self._server = serve(
             self._serve,
@@ -111,7 +111,7 @@
         return self._server.socket.getsockname()[1]
 
     def stop(self) -> None:
-        """Close the server and its connections."""
+        """Stop the server and close its connections."""
         if self._server is not None:
             self._server.shutdown()
         with self._lock:
@@ -129,15 +129,14 @@
             send_message(socket, message)
 
     def report(self, load: Load) -> None:
-        """Send an upstream's load to every entry daemon.
+        """Send the load report of an upstream to every entry daemon.
 
         Args:
-          load: The report; the number of calls received on each entry
-            daemon's connection is filled in here.
+          load: The report; `acknowledged` is set here for each connection.
         """
         for socket, peer in self._entries():
-            taken = peer.taken[load.upstream]
-            send_message(socket, replace(load, acknowledged=taken))
+            received_calls = peer.received_calls[load.upstream]
+            send_message(socket, replace(load, acknowledged=received_calls))
 
     def _entries(self) -> list[tuple[ServerConnection, '_Peer']]:
         with self._lock:
@@ -153,12 +152,12 @@
             case Ok(hello):
                 self._serve_peer(socket, _Peer(hello))
             case Err(lost):
-                logger.warning('caller turned away: {}', lost.describe())
+                logger.warning('connection rejected: {}', lost.describe())
 
     def _serve_peer(self, socket: ServerConnection, peer: '_Peer') -> None:
         with self._lock:
             self._peers[socket] = peer
-        self._announce(socket)
+        self._send_leaving(socket)
         try:
             self._receive(socket, peer)
         finally:
@@ -172,14 +171,14 @@
         while True:
             match receive_message(socket):
                 case Ok(Call() as call):
-                    peer.taken[call.upstream] += 1
-                    self._call(call, send)
+                    peer.received_calls[call.upstream] += 1
+                    self._handle_call(call, send)
                 case Ok(message):
-                    self._dispatch(message, send)
+                    self._handle_message(message, send)
                 case Err():
                     return
 
-    def _announce(self, socket: ServerConnection) -> None:
+    def _send_leaving(self, socket: ServerConnection) -> None:
         leaving = tuple(
             name
             for name, calls in self._upstreams.items()
@@ -188,15 +187,15 @@
         if leaving:
             send_message(socket, Leaving(leaving))
 
-    def _dispatch(self, message: Any, send: Send) -> None:
+    def _handle_message(self, message: Any, send: Send) -> None:
         match message:
             case Cancel(call_id):
                 for calls in self._upstreams.values():
                     calls.cancel(call_id)
             case FateQuery(call_id):
-                send(self._fate(call_id))
+                send(self._query_status(call_id))
             case ConfigQuery(offset):
-                self._config(offset, send)
+                self._send_configuration(offset, send)
             case ConfigCopy(state=state):
                 self._follower.adopt(state)
             case Demand():
@@ -206,24 +205,25 @@
             case _:
                 logger.warning('unexpected message {}', type(message))
 
-    def _call(self, call: Call, send: Send) -> None:
+    def _handle_call(self, call: Call, send: Send) -> None:
         calls = self._upstreams.get(call.upstream)
         if calls is None:
-            # The host list lagged behind a replaced host.
+            # The sender's host list is older than the replacement of this
+            # host.
             send(Refused(call.call_id, Reason.NO_UPSTREAM, _RETRY_MS))
         elif call.slot is None:
             calls.offer(call, send)
         else:
             self._handlers.keyed(call, send, calls)
 
-    def _fate(self, call_id: str) -> Fate:
-        fates = [
+    def _query_status(self, call_id: str) -> Fate:
+        started_flags = [
             calls.withdraw(call_id).started
             for calls in self._upstreams.values()
         ]
-        return Fate(call_id, any(fates))
+        return Fate(call_id, any(started_flags))
 
-    def _config(self, offset: int, send: Send) -> None:
+    def _send_configuration(self, offset: int, send: Send) -> None:
         state = self._follower.state
         if state.next_offset > offset and state.revision > 0:
             send(ConfigCopy(state.next_offset, self._follower.copy()))
--- a/linnetwind/wire.py
+++ b/linnetwind/wire.py
@@ -1,4 +1,4 @@
-"""Messages to CBOR frames and back."""
+"""The CBOR codec for messages between entry daemons and side daemons."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 PROTOCOL_VERSION = 1
 
-# The position is the tag on the wire: append only.
+# The position of a type is its tag on the wire, so only append to this list.
 _TYPES: tuple[type[Any], ...] = (
     messages.Hello,
     messages.Challenge,
