--- a/linnetwind/entry_limits.py
+++ b/linnetwind/entry_limits.py
@@ -77,8 +77,8 @@
         for customer, (requests, tokens) in demand.items():
             owner = home_of(customer, list(links))
             if owner is not None:
-                each = CustomerDemand(customer, requests, tokens)
-                demands_by_owner[owner].append(each)
+                customer_demand = CustomerDemand(customer, requests, tokens)
+                demands_by_owner[owner].append(customer_demand)
         for owner, demands in demands_by_owner.items():
             links[owner].post(Demand(self._name, tuple(demands)))
 
@@ -88,7 +88,7 @@
         Args:
           shares: The fractions of some customers' limits.
         """
-        fractions = {each.customer: each.fraction for each in shares.shares}
+        fractions = {share.customer: share.fraction for share in shares.shares}
         with self._lock:
             self._limiter.take_fractions(fractions)
 
--- a/linnetwind/gate.py
+++ b/linnetwind/gate.py
@@ -3,8 +3,8 @@
 Calls start up to the concurrency limit of the upstream. Further calls wait
 in a priority queue if they can be expected to meet their deadlines; all
 others are refused at once, with the time at which a slot should be free.
-The gate records which calls have started, so that an entry daemon that lost
-its connection can query whether a call ran.
+The module records which calls have started, so that an entry daemon that
+lost its connection can query whether a call ran.
 """
 
 import heapq
@@ -59,7 +59,7 @@
     """The queued and running calls of one upstream, and their statuses."""
 
     def __init__(self, concurrency: int, clock: Clock) -> None:
-        """Create a gate without calls.
+        """Create the state of an upstream without calls.
 
         Args:
           concurrency: The number of calls that the upstream serves at once.
@@ -185,15 +185,15 @@
           A refusal for each of these calls.
         """
         now = self._clock.elapsed()
-        expired = [each for each in self._queue if each.deadline <= now]
+        expired = [call for call in self._queue if call.deadline <= now]
         if not expired:
             return ()
-        self._queue = [each for each in self._queue if each.deadline > now]
+        self._queue = [call for call in self._queue if call.deadline > now]
         heapq.heapify(self._queue)
         wait = self._expected_wait(0)
         return tuple(
-            self._refuse(each.call_id, Reason.DEADLINE, wait)
-            for each in expired
+            self._refuse(call.call_id, Reason.DEADLINE, wait)
+            for call in expired
         )
 
     def stop_accepting(self) -> tuple[Action, ...]:
@@ -229,8 +229,8 @@
         waiting = self._queue
         self._queue = []
         return tuple(
-            self._refuse(each.call_id, reason, retry_after)
-            for each in sorted(waiting)
+            self._refuse(call.call_id, reason, retry_after)
+            for call in sorted(waiting)
         )
 
     def _start_queued(self) -> Iterator[Action]:
@@ -273,6 +273,6 @@
 
     def _expected_wait(self, priority: int) -> timedelta:
         calls_ahead = sum(
-            1 for each in self._queue if each.priority <= priority
+            1 for call in self._queue if call.priority <= priority
         )
         return self._service_time * (calls_ahead + 1) / self.concurrency
--- a/linnetwind/side_calls.py
+++ b/linnetwind/side_calls.py
@@ -32,27 +32,31 @@
     """Admits calls, runs them at the upstream and sends back the responses."""
 
     def __init__(
-        self, address: Address, gate: Gate, executor: Executor, clock: Clock
+        self,
+        address: Address,
+        admission: Gate,
+        executor: Executor,
+        clock: Clock,
     ) -> None:
         """Create the state for an upstream without calls.
 
         Args:
           address: The address of the upstream.
-          gate: The admission control, which decides which calls start.
+          admission: The admission control, which decides which calls start.
           executor: The executor that runs the started calls.
           clock: The clock that measures the duration of calls.
         """
         self._address = address
-        self._gate = gate
+        self._admission = admission
         self._executor = executor
         self._clock = clock
         self._pending: dict[str, _PendingCall] = {}
         self._lock = threading.RLock()
 
     @property
-    def gate(self) -> Gate:
-        """Return the admission gate, whose figures go into load reports."""
-        return self._gate
+    def admission(self) -> Gate:
+        """Return the admission control, whose figures go into load reports."""
+        return self._admission
 
     @property
     def busy(self) -> bool:
@@ -68,7 +72,7 @@
             returns False once the connection is closed.
         """
         with self._lock:
-            actions = self._gate.offer(
+            actions = self._admission.offer(
                 call.call_id, call.priority, call.timeout_ms * _MS
             )
             if call.call_id not in self._pending:
@@ -85,7 +89,7 @@
           Whether the call has started.
         """
         with self._lock:
-            started = self._gate.withdraw(call_id)
+            started = self._admission.withdraw(call_id)
             if not started:
                 self._pending.pop(call_id, None)
             return Fate(call_id, started)
@@ -108,17 +112,17 @@
     def expire(self) -> None:
         """Refuse the queued calls whose deadline has passed."""
         with self._lock:
-            self._execute(self._gate.expire())
+            self._execute(self._admission.expire())
 
     def stop_accepting(self) -> None:
         """Refuse queued calls and all new ones; running calls continue."""
         with self._lock:
-            self._execute(self._gate.stop_accepting())
+            self._execute(self._admission.stop_accepting())
 
     def resume_accepting(self) -> None:
         """Accept new calls again after `stop_accepting`."""
         with self._lock:
-            self._gate.resume_accepting()
+            self._admission.resume_accepting()
 
     def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -174,7 +178,7 @@
             'upstream {} requests no calls for {}', self._address, backoff
         )
         with self._lock:
-            self._execute(self._gate.back_off(backoff))
+            self._execute(self._admission.back_off(backoff))
 
     def _finish(
         self, call: Call, duration: timedelta, *, complete: bool
@@ -182,5 +186,7 @@
         with self._lock:
             self._pending.pop(call.call_id, None)
             self._execute(
-                self._gate.finish(call.call_id, duration if complete else None)
+                self._admission.finish(
+                    call.call_id, duration if complete else None
+                )
             )
--- a/linnetwind/side_daemon.py
+++ b/linnetwind/side_daemon.py
@@ -155,7 +155,7 @@
     def _expire_calls(self) -> None:
         while not self._stopping.wait(_TICK_SECONDS):
             for calls in self._calls.values():
-                if calls.gate.waiting:
+                if calls.admission.waiting:
                     guarded(calls.expire)
 
     def _apply_state(self, state: ConfigState) -> None:
@@ -165,7 +165,7 @@
         for upstream in _all_upstreams(base):
             calls = self._calls.get(upstream.name)
             if calls is not None:
-                calls.gate.concurrency = upstream.concurrency
+                calls.admission.concurrency = upstream.concurrency
         self._models = _model_upstreams(base)
         self._drained = frozenset(base.drained)
         self._apply_leaving()
@@ -194,7 +194,7 @@
             leaving = (
                 self._draining or self._host_leaving or name in self._drained
             )
-            if leaving != calls.gate.leaving:
+            if leaving != calls.admission.leaving:
                 changed = True
                 if leaving:
                     calls.stop_accepting()
@@ -205,7 +205,9 @@
 
     def _leaving_names(self) -> tuple[str, ...]:
         return tuple(
-            name for name, calls in self._calls.items() if calls.gate.leaving
+            name
+            for name, calls in self._calls.items()
+            if calls.admission.leaving
         )
 
     def _send_reports(self) -> None:
@@ -225,20 +227,20 @@
     def _send_report(self) -> None:
         self._keyed.flush()
         for name, calls in self._calls.items():
-            gate = calls.gate
+            admission = calls.admission
             news = (
                 self._feeds[name].news()
                 if name in self._models
                 else _NO_UPDATES
             )
-            self._running.labels(name).set(gate.running)
+            self._running.labels(name).set(admission.running)
             self._server.report(
                 Load(
                     name,
-                    gate.running,
-                    gate.waiting,
+                    admission.running,
+                    admission.waiting,
                     news.step_ms,
-                    gate.service_time / _MS,
+                    admission.service_time / _MS,
                     0,
                     0,
                     news.cached,
--- a/linnetwind/side_server.py
+++ b/linnetwind/side_server.py
@@ -182,7 +182,7 @@
         leaving = tuple(
             name
             for name, calls in self._upstreams.items()
-            if calls.gate.leaving
+            if calls.admission.leaving
         )
         if leaving:
             send_message(socket, Leaving(leaving))
