--- a/linnetwind/fleet.py
+++ b/linnetwind/fleet.py
@@ -147,8 +147,8 @@
           host: The name of the host.
         """
         self._connected.discard(host)
-        # This is not done in `connected`, because the `Leaving` message of
-        # the new connection may have been applied before.
+        # This is not done when the next connection is recorded, because its
+        # `Leaving` message may have been applied before.
         self._leaving.pop(host, None)
 
     def apply_leaving(self, host: str, upstreams: Sequence[str]) -> None:
