--- a/linnetwind/stream_gate.py
+++ b/linnetwind/admission_policy.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupView:
+class CapacityView:
     """The capacity of a service's rank groups when a stream asks for a permit.
 
     `free` counts the permits that this daemon may use now; it is below 0 if
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
+class PendingStream:
     """A stream that asks for a permit.
 
     `ahead` streams precede it in the wait queue. `target` is the latency up to
@@ -84,20 +84,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RejectStream:
     """The stream is rejected; there should be capacity after `retry_after`."""
 
     retry_after: timedelta
     reason: str
 
 
-AdmissionDecision = AdmitStream | QueueStream | TurnAway
+AdmissionDecision = AdmitStream | QueueStream | RejectStream
 # The decision on a queued stream when the daemon stops before the stream could
 # end. The shutdown, not this module, determines when its caller may retry.
-STOPPING = TurnAway(timedelta(), 'the daemon is stopping')
+STOPPING = RejectStream(timedelta(), 'the daemon is stopping')
 
 
-def decide_admission(view: GroupView, stream: Waiter) -> AdmissionDecision:
+def decide_admission(
+    view: CapacityView, stream: PendingStream
+) -> AdmissionDecision:
     """Decide whether a stream is admitted, queued or rejected.
 
     Args:
@@ -167,7 +169,9 @@
     return int(newcomers_per_s * _NEWCOMER_WINDOW.total_seconds())
 
 
-def _decide_while_closed(view: GroupView, stream: Waiter) -> AdmissionDecision:
+def _decide_while_closed(
+    view: CapacityView, stream: PendingStream
+) -> AdmissionDecision:
     """Decide on a stream while no group of its service can run streams.
 
     After a power loss the callers of all interrupted streams retry before the
@@ -182,17 +186,17 @@
     if wait_left > timedelta() and view.opens_in < wait_left + slack:
         return QueueStream(wait_left)
     if view.is_backoff:
-        return TurnAway(
+        return RejectStream(
             max(view.opens_in, MIN_RETRY_AFTER), 'all ranks want no streams'
         )
     return _reject(view.opens_in, 'group is broken')
 
 
-def _reject(wait: timedelta, reason: str) -> TurnAway:
-    return TurnAway(bounded_retry(wait), reason)
+def _reject(wait: timedelta, reason: str) -> RejectStream:
+    return RejectStream(clamp_retry_after(wait), reason)
 
 
-def bounded_retry(wait: timedelta) -> timedelta:
+def clamp_retry_after(wait: timedelta) -> timedelta:
     """Clamp an estimated wait to the bounds of a retry time.
 
     Args:
--- a/linnetwind/stream_gate_test.py
+++ b/linnetwind/admission_policy_test.py
@@ -2,13 +2,13 @@
 
 from dataclasses import replace
 
-from linnetwind.stream_gate import (
+from linnetwind.admission_policy import (
     MAX_RETRY_AFTER,
     MAX_RETRY_WAIT,
     MIN_RETRY_AFTER,
     AdmitStream,
     QueueStream,
-    TurnAway,
+    RejectStream,
     decide_admission,
     reserve_for_arrivals,
 )
@@ -32,7 +32,7 @@
     full = replace(VIEW, free=0)
     last = replace(FIRST, ahead=20)
     decision = decide_admission(full, last)
-    assert isinstance(decision, TurnAway)
+    assert isinstance(decision, RejectStream)
     assert MIN_RETRY_AFTER <= decision.retry_after <= MAX_RETRY_AFTER
 
 
@@ -41,14 +41,14 @@
     # late in any case, and a caller that is rejected again gets none.
     over = replace(VIEW, free=-32)
     returning = replace(FIRST, returning=True)
-    assert isinstance(decide_admission(over, FIRST), TurnAway)
+    assert isinstance(decide_admission(over, FIRST), RejectStream)
     assert isinstance(decide_admission(over, returning), QueueStream)
 
 
 def test_a_queued_stream_is_rejected_when_its_wait_is_over():
     full = replace(VIEW, free=0)
     assert isinstance(
-        decide_admission(full, replace(FIRST, waited=301 * MS)), TurnAway
+        decide_admission(full, replace(FIRST, waited=301 * MS)), RejectStream
     )
 
 
@@ -59,12 +59,12 @@
     slow = replace(VIEW, free=0, start_time=350 * MS)
     assert decide_admission(slow, FIRST) == QueueStream(150 * MS)
     waited = replace(FIRST, waited=151 * MS)
-    assert isinstance(decide_admission(slow, waited), TurnAway)
+    assert isinstance(decide_admission(slow, waited), RejectStream)
 
 
 def test_a_group_that_opens_too_late_rejects_until_it_opens():
     broken = replace(VIEW, opens_in=1700 * MS)
-    assert decide_admission(broken, FIRST) == TurnAway(
+    assert decide_admission(broken, FIRST) == RejectStream(
         1700 * MS, 'group is broken'
     )
     returning = replace(FIRST, returning=True)
@@ -78,7 +78,7 @@
     broken = replace(VIEW, opens_in=800 * MS)
     assert decide_admission(broken, FIRST) == QueueStream(MAX_RETRY_WAIT)
     waited = replace(FIRST, waited=MAX_RETRY_WAIT - 700 * MS)
-    assert decide_admission(broken, waited) == TurnAway(
+    assert decide_admission(broken, waited) == RejectStream(
         800 * MS, 'group is broken'
     )
 
@@ -111,7 +111,7 @@
     soon = replace(VIEW, opens_in=MAX_RETRY_WAIT + 400 * MS)
     late = replace(VIEW, opens_in=MAX_RETRY_WAIT + 600 * MS)
     assert decide_admission(soon, returning) == QueueStream(MAX_RETRY_WAIT)
-    assert isinstance(decide_admission(late, returning), TurnAway)
+    assert isinstance(decide_admission(late, returning), RejectStream)
 
 
 def test_one_stream_probes_an_unknown_group_while_others_are_queued():
--- a/linnetwind/backpressure.py
+++ b/linnetwind/backpressure.py
@@ -4,17 +4,17 @@
 recorded in the gateway's state and not with the request that got the response.
 """
 
-from linnetwind.call_types import AnswerFacts
+from linnetwind.call_types import ResponseFacts
 from linnetwind.gateway_events import BackoffAsked, LimitNamed, UpstreamLeaves
-from linnetwind.journey import GatewayTools, Journey
+from linnetwind.request_context import GatewayContext, RequestContext
 from linnetwind.upstream_list import Upstream
 
 
-def note_backpressure(
-    tools: GatewayTools,
-    journey: Journey,
+def record_backpressure(
+    tools: GatewayContext,
+    journey: RequestContext,
     upstream: Upstream,
-    answer: AnswerFacts,
+    answer: ResponseFacts,
 ) -> None:
     """Record the limit, backoff and announced leave of an upstream.
 
@@ -27,7 +27,7 @@
     """
     if answer.misdirected:
         return
-    _record_limit(tools, journey, upstream, answer.most_per_s)
+    _record_limit(tools, journey, upstream, answer.max_per_s)
     if answer.backoff is not None:
         _record_backoff(tools, journey, upstream, answer)
     if answer.leaving:
@@ -35,26 +35,28 @@
 
 
 def _record_limit(
-    tools: GatewayTools,
-    journey: Journey,
+    tools: GatewayContext,
+    journey: RequestContext,
     upstream: Upstream,
     most_per_s: float | None,
 ) -> None:
-    if not tools.state.books.limits.record_limit(upstream, most_per_s):
+    if not tools.state.request_history.limits.record_limit(
+        upstream, most_per_s
+    ):
         return
-    tools.tell_peers()
+    tools.advertise_to_peers()
     tools.log.event(
         LimitNamed(journey.facts.call_id, upstream.life, most_per_s)
     )
 
 
 def _record_backoff(
-    tools: GatewayTools,
-    journey: Journey,
+    tools: GatewayContext,
+    journey: RequestContext,
     upstream: Upstream,
-    answer: AnswerFacts,
+    answer: ResponseFacts,
 ) -> None:
-    before = tools.state.books.backoffs.record_backoff(
+    before = tools.state.request_history.backoffs.record_backoff(
         upstream.life, answer.backoff
     )
     now = tools.clock.elapsed()
@@ -71,7 +73,7 @@
 
 
 def _record_leaving(
-    tools: GatewayTools, journey: Journey, upstream: Upstream
+    tools: GatewayContext, journey: RequestContext, upstream: Upstream
 ) -> None:
     if upstream.life in tools.state.upstreams.leaving:
         return
--- a/linnetwind/gate.py
+++ b/linnetwind/call_admission.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartCall:
     """Decision to run a call now."""
 
     call_id: str
@@ -44,7 +44,7 @@
     retry_after: timedelta
 
 
-Action = Start | Refuse
+Action = StartCall | Refuse
 
 
 @dataclass(order=True, slots=True)
@@ -55,7 +55,7 @@
     deadline: timedelta = field(compare=False)
 
 
-class Gate:
+class CallAdmission:
     """The queued and running calls of one upstream, and their statuses."""
 
     def __init__(self, concurrency: int, clock: Clock) -> None:
@@ -244,10 +244,10 @@
             else:
                 yield self._start(waiting.call_id)
 
-    def _start(self, call_id: str) -> Start:
+    def _start(self, call_id: str) -> StartCall:
         self._running.add(call_id)
         self._record_status(call_id, started=True)
-        return Start(call_id)
+        return StartCall(call_id)
 
     def _refuse(
         self, call_id: str, reason: Reason, retry_after: timedelta
--- a/linnetwind/gate_test.py
+++ b/linnetwind/call_admission_test.py
@@ -5,7 +5,12 @@
 import pytest
 
 from linnetwind.clock import ManualClock
-from linnetwind.gate import STATUS_RETENTION, Gate, Refuse, Start
+from linnetwind.call_admission import (
+    STATUS_RETENTION,
+    CallAdmission,
+    Refuse,
+    StartCall,
+)
 from linnetwind.outcome import Reason
 
 LONG = timedelta(seconds=30)
@@ -17,8 +22,8 @@
 
 
 def admission_with_running_call(clock):
-    admission = Gate(1, clock)
-    assert admission.offer('running', 5, LONG) == (Start('running'),)
+    admission = CallAdmission(1, clock)
+    assert admission.offer('running', 5, LONG) == (StartCall('running'),)
     return admission
 
 
@@ -57,7 +62,7 @@
     # The entry daemon lost its connection, queried the status of the call
     # and received "not started". The frame of the call was still in a
     # socket buffer and arrives now.
-    admission = Gate(1, clock)
+    admission = CallAdmission(1, clock)
     assert admission.withdraw('late') is False
     (refusal,) = admission.offer('late', 5, LONG)
     assert refusal.reason is Reason.BARRED
@@ -81,8 +86,8 @@
 
 
 def test_duplicate_frame_runs_once(clock):
-    admission = Gate(2, clock)
-    assert admission.offer('call', 5, LONG) == (Start('call'),)
+    admission = CallAdmission(2, clock)
+    assert admission.offer('call', 5, LONG) == (StartCall('call'),)
     (refusal,) = admission.offer('call', 5, LONG)
     assert isinstance(refusal, Refuse)
     assert admission.running == 1
@@ -97,7 +102,7 @@
     assert refusal.reason is Reason.LEAVING
     admission.resume_accepting()
     admission.finish('running', None)
-    assert admission.offer('again', 5, LONG) == (Start('again'),)
+    assert admission.offer('again', 5, LONG) == (StartCall('again'),)
 
 
 def test_queued_calls_are_refused_when_the_upstream_requests_backoff(clock):
@@ -112,4 +117,4 @@
     (refusal,) = admission.offer('next', 5, LONG)
     assert (refusal.reason, refusal.retry_after) == (Reason.OVERLOADED, backoff)
     clock.advance(backoff)
-    assert admission.offer('later', 5, LONG) == (Start('later'),)
+    assert admission.offer('later', 5, LONG) == (StartCall('later'),)
--- a/linnetwind/call_policy.py
+++ b/linnetwind/call_policy.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from http import HTTPStatus
 
-from linnetwind.call_types import CallFacts
+from linnetwind.call_types import RequestFacts
 from linnetwind.routes import Route, RouteTable, find_route
 
 # The least remaining time in which another attempt is worthwhile.
@@ -33,7 +33,7 @@
     reason: str
 
 
-def allow(table: RouteTable, facts: CallFacts) -> Allowed | Denied:
+def allow(table: RouteTable, facts: RequestFacts) -> Allowed | Denied:
     """Decide whether the configuration allows a request.
 
     Args:
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptLost:
+class FailedAttempt:
     """An attempt that got no usable response.
 
     `may_have_run` is False only if nothing was sent, or if the upstream stated
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Progressed:
+class RequestProgress:
     """The progress of a request over all its attempts.
 
     `sent_to` is the number of upstreams that the request was sent to,
@@ -81,15 +81,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TryAnother:
+class RetryElsewhere:
     """Send the request to another upstream.
 
     `counts` says whether this spends a retry of the shared budget. If the
-    budget is exhausted, `instead` is the final response.
+    budget is exhausted, `fallback` is the final response.
     """
 
     counts: bool
-    instead: 'GiveUp'
+    fallback: 'GiveUp'
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,9 +105,9 @@
     reason: str
 
 
-def after_loss(
-    route: Route, attempt: AttemptLost, progress: Progressed
-) -> TryAnother | GiveUp:
+def after_failed_attempt(
+    route: Route, attempt: FailedAttempt, progress: RequestProgress
+) -> RetryElsewhere | GiveUp:
     """Decide what follows a failed attempt.
 
     Args:
@@ -122,17 +122,17 @@
     final = _final(attempt, may_have_run=may_have_run)
     if attempt.out_of_time or progress.time_left < MIN_ATTEMPT_TIME:
         return final
-    if may_have_run and not route.repeatable:
+    if may_have_run and not route.is_retryable:
         # A retry could run the work twice.
         return final
     if not attempt.reached:
-        return TryAnother(counts=False, instead=final)
+        return RetryElsewhere(counts=False, fallback=final)
     if progress.sent_to >= route.max_attempts:
         return final
-    return TryAnother(counts=True, instead=final)
+    return RetryElsewhere(counts=True, fallback=final)
 
 
-def _final(attempt: AttemptLost, *, may_have_run: bool) -> GiveUp:
+def _final(attempt: FailedAttempt, *, may_have_run: bool) -> GiveUp:
     if not may_have_run:
         status = HTTPStatus.SERVICE_UNAVAILABLE
         return GiveUp(status, not_run=True, reason=attempt.reason)
--- a/linnetwind/call_policy_test.py
+++ b/linnetwind/call_policy_test.py
@@ -5,20 +5,20 @@
 import pytest
 
 from linnetwind.call_policy import (
-    AttemptLost,
+    FailedAttempt,
     GiveUp,
-    Progressed,
-    TryAnother,
-    after_loss,
+    RequestProgress,
+    RetryElsewhere,
+    after_failed_attempt,
 )
 from linnetwind.routes import RouteKind
 from standins.gateway_fixtures import make_route
 
 SECOND = timedelta(seconds=1)
-NOT_REACHED = AttemptLost('x', may_have_run=False, reached=False)
-REFUSED = AttemptLost('x', may_have_run=False, reached=True)
-BROKEN = AttemptLost('x', may_have_run=True, reached=True)
-LATE = AttemptLost('x', may_have_run=True, reached=True, out_of_time=True)
+NOT_REACHED = FailedAttempt('x', may_have_run=False, reached=False)
+REFUSED = FailedAttempt('x', may_have_run=False, reached=True)
+BROKEN = FailedAttempt('x', may_have_run=True, reached=True)
+LATE = FailedAttempt('x', may_have_run=True, reached=True, out_of_time=True)
 
 IDEMPOTENT = make_route('i')
 RUN_ONCE = make_route('o', RouteKind.RUN_ONCE, max_attempts=2)
@@ -46,25 +46,27 @@
 def test_what_follows_a_failed_attempt(
     route, attempt, sent_to, ran_before, expected
 ):
-    progress = Progressed(sent_to, ran_before, SECOND)
-    decision = after_loss(route, attempt, progress)
+    progress = RequestProgress(sent_to, ran_before, SECOND)
+    decision = after_failed_attempt(route, attempt, progress)
     if expected == 'retry':
-        assert isinstance(decision, TryAnother)
+        assert isinstance(decision, RetryElsewhere)
     else:
         assert isinstance(decision, GiveUp)
         assert (decision.status, decision.not_run) == expected
 
 
 def test_a_retry_spends_budget_only_if_something_was_sent():
-    reached = after_loss(IDEMPOTENT, BROKEN, Progressed(1, False, SECOND))
-    not_reached = after_loss(
-        IDEMPOTENT, NOT_REACHED, Progressed(0, False, SECOND)
+    reached = after_failed_attempt(
+        IDEMPOTENT, BROKEN, RequestProgress(1, False, SECOND)
+    )
+    not_reached = after_failed_attempt(
+        IDEMPOTENT, NOT_REACHED, RequestProgress(0, False, SECOND)
     )
     assert reached.counts
     assert not not_reached.counts
 
 
 def test_without_remaining_time_there_is_no_retry():
-    progress = Progressed(0, False, timedelta(milliseconds=5))
-    decision = after_loss(IDEMPOTENT, NOT_REACHED, progress)
+    progress = RequestProgress(0, False, timedelta(milliseconds=5))
+    decision = after_failed_attempt(IDEMPOTENT, NOT_REACHED, progress)
     assert decision == GiveUp(503, not_run=True, reason='x')
--- a/linnetwind/call_types.py
+++ b/linnetwind/call_types.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallFacts:
+class RequestFacts:
     """The metadata in a request's headers, independent of the header format.
 
     `call_id` identifies one attempt of a caller. `time_limit` is how long the
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseFacts:
     """The metadata in a response's head, independent of the header format.
 
     `signed` says that an upstream generated the response, and `not_executed`
@@ -82,7 +82,7 @@
     not_executed: bool
     misdirected: bool
     instance: str | None
-    most_per_s: float | None = None
+    max_per_s: float | None = None
     backoff: timedelta | None = None
     leaving: bool = False
 
@@ -90,7 +90,7 @@
 class Dialect(Protocol):
     """Translates the header format of the platform that the gateway runs on."""
 
-    def read_call(self, request: CallerRequest) -> CallFacts:
+    def read_call(self, request: CallerRequest) -> RequestFacts:
         """Return the metadata in a request's headers."""
 
     def write_forward(
@@ -98,8 +98,8 @@
     ) -> Headers:
         """Return the headers with which a request is sent to an upstream."""
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Return the metadata in a response's head."""
 
-    def answer_headers(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Return the headers of a response that are relayed to the caller."""
--- a/linnetwind/caller_connection.py
+++ b/linnetwind/caller_connection.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class ConnectionEnded:
     """The caller closed the connection, or left it idle for too long."""
 
 
@@ -45,7 +45,7 @@
     problem: str
 
 
-ReadResult = CallerRequest | CallerGone | BadRequest
+ReadResult = CallerRequest | ConnectionEnded | BadRequest
 
 
 class CallerConnection:
@@ -104,7 +104,7 @@
         except h11.RemoteProtocolError as error:
             return BadRequest(error.error_status_hint, str(error))
         except OSError:
-            return CallerGone()
+            return ConnectionEnded()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> bool:
         """Write a complete response.
@@ -154,7 +154,7 @@
         """
         return self._send(h11.EndOfMessage())
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller has closed the connection."""
         poller = select.poll()
         poller.register(self._sock, _HANGUP_EVENTS)
@@ -166,10 +166,10 @@
 
     def _read_complete_request(self) -> ReadResult:
         head = self._next_event()
-        if isinstance(head, CallerGone | BadRequest):
+        if isinstance(head, ConnectionEnded | BadRequest):
             return head
         if not isinstance(head, h11.Request):
-            return CallerGone()
+            return ConnectionEnded()
         received = self._clock.elapsed()
         limits = self._limits()
         if _head_size(head) > limits.head_bytes:
@@ -183,14 +183,14 @@
             if len(body) > limits.body_bytes:
                 return BadRequest(_BODY_TOO_LARGE, 'the body is too long')
             event = self._next_event()
-        if isinstance(event, CallerGone | BadRequest):
+        if isinstance(event, ConnectionEnded | BadRequest):
             return event
         headers = tuple(head.headers.raw_items())
         return CallerRequest(
             head.method, head.target, headers, bytes(body), received
         )
 
-    def _next_event(self) -> h11.Event | CallerGone | BadRequest:
+    def _next_event(self) -> h11.Event | ConnectionEnded | BadRequest:
         event = self._http.next_event()
         while event is h11.NEED_DATA:
             if not self._wait_for_bytes():
@@ -199,13 +199,13 @@
                 slow = BadRequest(
                     HTTPStatus.REQUEST_TIMEOUT, 'the request took too long'
                 )
-                return slow if self._request_begun else CallerGone()
+                return slow if self._request_begun else ConnectionEnded()
             received = self._sock.recv(_READ_BYTES)
             self._request_begun = True
             self._http.receive_data(received)
             event = self._http.next_event()
         if isinstance(event, h11.ConnectionClosed):
-            return CallerGone()
+            return ConnectionEnded()
         return event
 
     def _wait_for_bytes(self) -> bool:
--- a/linnetwind/caller_connection_test.py
+++ b/linnetwind/caller_connection_test.py
@@ -11,7 +11,7 @@
 from linnetwind.caller_connection import (
     BadRequest,
     CallerConnection,
-    CallerGone,
+    ConnectionEnded,
 )
 from linnetwind.clock import SystemClock
 from linnetwind.routes import CallerLimits
@@ -63,7 +63,9 @@
 def test_a_truncated_request_is_not_accepted(length):
     # The caller's connection ends within the request. A part of a request
     # must never reach an upstream, even if it looks like a complete one.
-    assert isinstance(_read_request(GOOD[:length]), CallerGone | BadRequest)
+    assert isinstance(
+        _read_request(GOOD[:length]), ConnectionEnded | BadRequest
+    )
 
 
 def test_a_caller_that_stalls_within_a_request_gets_a_timeout_status():
@@ -73,14 +75,14 @@
 
 
 def test_an_idle_connection_is_closed_without_a_response():
-    assert _read_request(close=False) == CallerGone()
+    assert _read_request(close=False) == ConnectionEnded()
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300))
 def test_random_bytes_never_raise(garbage):
     read = _read_request(garbage)
-    assert isinstance(read, CallerGone | BadRequest | CallerRequest)
+    assert isinstance(read, ConnectionEnded | BadRequest | CallerRequest)
 
 
 @settings(max_examples=200, deadline=None)
--- a/linnetwind/caller_service.py
+++ b/linnetwind/caller_service.py
@@ -6,16 +6,16 @@
 from linnetwind.caller_connection import (
     BadRequest,
     CallerConnection,
-    CallerGone,
+    ConnectionEnded,
 )
-from linnetwind.journey import GatewayTools
+from linnetwind.request_context import GatewayContext
 from linnetwind.relay import Relay
 from linnetwind.routes import CallerLimits
 
 
 def serve_caller(
     sock: socket,
-    tools: GatewayTools,
+    tools: GatewayContext,
     limits: Callable[[], CallerLimits],
 ) -> None:
     """Serve a connection until the caller closes it or the daemon stops.
@@ -41,11 +41,11 @@
             may_continue = _serve_next(connection, tools)
 
 
-def _serve_next(connection: CallerConnection, tools: GatewayTools) -> bool:
+def _serve_next(connection: CallerConnection, tools: GatewayContext) -> bool:
     """Serve the next request; return whether another may follow."""
     reading = connection.read_request()
     match reading:
-        case CallerGone():
+        case ConnectionEnded():
             return False
         case BadRequest(status):
             close = ((b'Connection', b'close'),)
--- a/linnetwind/claims.py
+++ b/linnetwind/claims.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredAnswer:
+class StoredResponse:
     """A response that is small enough to be stored in the log."""
 
     status: int
@@ -46,12 +46,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class RecordedOutcome:
     """The call ran; `answer` is None if the response is too large to store."""
 
     claim_id: str
     key: bytes
-    answer: StoredAnswer | None
+    answer: StoredResponse | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,8 +62,8 @@
     key: bytes
 
 
-LedgerRecord = SlotTakeover | Claim | Done | WithdrawnClaim
-CLAIMS_CODEC = Codec((SlotTakeover, Claim, Done, WithdrawnClaim))
+LedgerRecord = SlotTakeover | Claim | RecordedOutcome | WithdrawnClaim
+CLAIMS_CODEC = Codec((SlotTakeover, Claim, RecordedOutcome, WithdrawnClaim))
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     claim_id: str
     fingerprint: bytes
     offset: int
-    answer: StoredAnswer | None
+    answer: StoredResponse | None
 
 
 KeyState = ClaimedKey | FinishedKey
@@ -124,7 +124,7 @@
         """
         return self._keys.get(key)
 
-    def record_outcome(self, done: Done) -> None:
+    def record_outcome(self, done: RecordedOutcome) -> None:
         """Apply an outcome of this process before it is in the log.
 
         Args:
@@ -145,7 +145,9 @@
         self._next_offset = max(self._next_offset, page.end)
         self._expire_before(page.first)
 
-    def take_own(self, offset: int, records: Sequence[LedgerRecord]) -> bool:
+    def fold_appended(
+        self, offset: int, records: Sequence[LedgerRecord]
+    ) -> bool:
         """Fold records that this process has appended, if none precede them.
 
         Args:
@@ -179,7 +181,7 @@
                     self._owner = owner
             case Claim():
                 self._apply_claim(offset, record)
-            case Done(claim_id, key, answer):
+            case RecordedOutcome(claim_id, key, answer):
                 open_claim = self._open_claim(key, claim_id)
                 if open_claim is not None:
                     self._keys[key] = FinishedKey(
--- a/linnetwind/claims_test.py
+++ b/linnetwind/claims_test.py
@@ -4,17 +4,17 @@
     CLAIMS_CODEC,
     Claim,
     ClaimedKey,
-    Done,
+    RecordedOutcome,
     FinishedKey,
     SlotTakeover,
     SlotLedger,
-    StoredAnswer,
+    StoredResponse,
     WithdrawnClaim,
 )
 from linnetwind.log_port import Entry, Page
 
 KEY = b'k'
-ANSWER = StoredAnswer(200, (), b'paired')
+ANSWER = StoredResponse(200, (), b'paired')
 
 
 def make_ledger(*records, first=0):
@@ -47,7 +47,7 @@
         SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
         SlotTakeover('b', 2),
-        Done('c', KEY, ANSWER),
+        RecordedOutcome('c', KEY, ANSWER),
     )
     assert ledger.key_state(KEY) == FinishedKey('c', b'', 1, ANSWER)
 
@@ -56,7 +56,7 @@
     ledger = make_ledger(
         SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
-        Done('x', KEY, ANSWER),
+        RecordedOutcome('x', KEY, ANSWER),
         WithdrawnClaim('x', KEY),
     )
     assert isinstance(ledger.key_state(KEY), ClaimedKey)
@@ -66,7 +66,7 @@
     ledger = make_ledger(
         SlotTakeover('a', 1),
         Claim('c', 1, KEY, b''),
-        Done('c', KEY, ANSWER),
+        RecordedOutcome('c', KEY, ANSWER),
         WithdrawnClaim('c', KEY),
     )
     assert isinstance(ledger.key_state(KEY), FinishedKey)
--- a/linnetwind/cmd_config.py
+++ b/linnetwind/cmd_config.py
@@ -19,7 +19,7 @@
 from linnetwind.log_http import make_log
 from linnetwind.publisher import (
     Unresolved,
-    prepare,
+    prepare_publish,
     publish_once,
     read_state,
 )
@@ -85,7 +85,7 @@
     if state.is_err() or deployment is None:
         typer.echo(state.unwrap_err().describe(), err=True)
         raise typer.Exit(EXIT_UNAVAILABLE)
-    change = prepare(
+    change = prepare_publish(
         deployment,
         state.unwrap(),
         based_on,
--- a/linnetwind/cmd_daemons.py
+++ b/linnetwind/cmd_daemons.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from linnetwind.decisions import start_logging
+from linnetwind.decision_log import start_logging
 from linnetwind.errors import Described
 from linnetwind.settings import load_entry_settings, load_side_settings
 from linnetwind.stop_signals import StopSignals
--- a/linnetwind/follower.py
+++ b/linnetwind/config_follower.py
@@ -39,7 +39,7 @@
 _SNAPSHOT_SPREAD = 0.5
 
 
-class Follower:
+class ConfigFollower:
     """Follows the configuration stream and holds the resulting state."""
 
     def __init__(
--- a/linnetwind/follower_test.py
+++ b/linnetwind/config_follower_test.py
@@ -8,7 +8,7 @@
 from linnetwind.clock import ManualClock
 from linnetwind.config_fold import CONFIG_STREAM
 from linnetwind.config_fold_test import history, in_force
-from linnetwind.follower import Follower
+from linnetwind.config_follower import ConfigFollower
 from standins.fakes import FakeLog
 
 HOUR = timedelta(hours=1)
@@ -25,7 +25,7 @@
 
 
 def make_follower(log, clock, seed=1):
-    return Follower(log, clock, HOUR, random.Random(seed))
+    return ConfigFollower(log, clock, HOUR, random.Random(seed))
 
 
 def test_listener_is_notified_of_each_revision_once(log, clock):
--- a/linnetwind/config_loader_test.py
+++ b/linnetwind/config_loader_test.py
@@ -6,7 +6,7 @@
 import yaml
 
 from linnetwind.config_loader import load_deployment
-from linnetwind.config_merge import at_site
+from linnetwind.config_merge import effective_base
 from linnetwind.settings import load_entry_settings
 
 EXAMPLES = Path(__file__).parent.parent / 'examples'
@@ -41,7 +41,7 @@
     limits = {
         site: next(
             customer.requests_per_minute
-            for customer in at_site(deployment, site).customers
+            for customer in effective_base(deployment, site).customers
             if customer.name == 'kiosks-norte'
         )
         for site in ('qro-norte', 'qro-sur')
--- a/linnetwind/config_merge.py
+++ b/linnetwind/config_merge.py
@@ -11,7 +11,7 @@
 )
 
 
-def at_site(deployment: Deployment, site: str) -> Base:
+def effective_base(deployment: Deployment, site: str) -> Base:
     """Return the configuration in force at one site.
 
     Customer limits and routing settings of an overlay apply at its own site
--- a/linnetwind/crash_guard.py
+++ b/linnetwind/crash_guard.py
@@ -3,9 +3,13 @@
 from datetime import timedelta
 
 from linnetwind.gateway_events import UpstreamCrashed
-from linnetwind.journey import Done, GatewayTools, Journey
+from linnetwind.request_context import (
+    RequestResult,
+    GatewayContext,
+    RequestContext,
+)
 from linnetwind.rank_crashes import record_rank_crash
-from linnetwind.upstream_call import CONNECT_TIMEOUT, Broken, NotReached
+from linnetwind.upstream_call import CONNECT_TIMEOUT, BrokenCall, ConnectFailed
 from linnetwind.upstream_list import Upstream
 
 QUARANTINED = 'upstreams crashed under it'
@@ -13,7 +17,9 @@
 _FIRST_REDIRECT = 300
 
 
-def quarantine_left(tools: GatewayTools, context: Journey) -> timedelta | None:
+def remaining_quarantine(
+    tools: GatewayContext, context: RequestContext
+) -> timedelta | None:
     """Return how long a request must not be sent to any upstream.
 
     Args:
@@ -23,17 +29,17 @@
     Returns:
       The remaining time, None if it may be sent.
     """
-    crashes = tools.state.books.crashes
+    crashes = tools.state.request_history.crashes
     if not crashes.has_crashes:
         return None
     return crashes.quarantine(context.fingerprint)
 
 
-def note_if_crashed(
-    tools: GatewayTools,
-    context: Journey,
+def record_if_crashed(
+    tools: GatewayContext,
+    context: RequestContext,
     upstream: Upstream,
-    broken: Broken,
+    broken: BrokenCall,
     began: timedelta,
 ) -> None:
     """Check whether an upstream crashed under a request and record the crash.
@@ -56,17 +62,19 @@
     probe = tools.open_call(
         upstream.address, None, tools.clock, CONNECT_TIMEOUT
     )
-    if not isinstance(probe, NotReached):
+    if not isinstance(probe, ConnectFailed):
         probe.close()
         return
     request = context.fingerprint
-    crashes = tools.state.books.crashes
+    crashes = tools.state.request_history.crashes
     of_group = record_rank_crash(tools.state, upstream, tools.clock.elapsed())
-    remaining = crashes.note(request, upstream.life, began, of_group=of_group)
-    tools.tell_peers()
+    remaining = crashes.record_crash(
+        request, upstream.life, began, of_group=of_group
+    )
+    tools.advertise_to_peers()
     if crashes.is_proven(request):
-        tools.keep_quarantine(request)
-    tools.state.note_miss(upstream)
+        tools.persist_quarantine(request)
+    tools.state.record_connect_failure(upstream)
     tools.log.event(
         UpstreamCrashed(
             context.facts.call_id,
@@ -79,8 +87,8 @@
     )
 
 
-def note_whole_answer(
-    tools: GatewayTools, context: Journey, done: Done
+def record_complete_answer(
+    tools: GatewayContext, context: RequestContext, done: RequestResult
 ) -> None:
     """Record that an upstream has answered a request completely.
 
@@ -91,4 +99,4 @@
     """
     success = _FIRST_SUCCESS <= done.status < _FIRST_REDIRECT
     if success:
-        tools.state.books.crashes.record_answer(context.fingerprint)
+        tools.state.request_history.crashes.record_answer(context.fingerprint)
--- a/linnetwind/crash_guard_test.py
+++ b/linnetwind/crash_guard_test.py
@@ -7,17 +7,17 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import SystemClock
-from linnetwind.crash_guard import note_if_crashed
+from linnetwind.crash_guard import record_if_crashed
 from linnetwind.gateway_events import UpstreamCrashed
 from linnetwind.gateway_state import GatewayState
-from linnetwind.repeat_budget import BudgetTerms
-from linnetwind.upstream_call import Broken, NotReached
+from linnetwind.shared_retry_budget import RetryBudgetTerms
+from linnetwind.upstream_call import BrokenCall, ConnectFailed
 from standins.gateway_fixtures import MS, SECOND, make_upstream
 from standins.gateway_harness import ListLog
 
 # The network round trip between two data centres.
 ROUND_TRIP = 4 * MS
-BROKEN = Broken('the connection was closed')
+BROKEN = BrokenCall('the connection was closed')
 
 
 @pytest.mark.parametrize('time_left', [SECOND, MS, timedelta(), -SECOND])
@@ -26,12 +26,12 @@
     # remaining time of the caller, every upstream seemed to have crashed, and
     # two such attempts put a harmless request into quarantine.
     clock, log = SystemClock(), ListLog()
-    terms = BudgetTerms(10 * SECOND, 0.2, 88)
+    terms = RetryBudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
 
     def open_call(_address, _caller, _clock, timeout):
         if timeout < ROUND_TRIP:
-            return NotReached('timed out')
+            return ConnectFailed('timed out')
         return SimpleNamespace(close=lambda: None)
 
     tools = SimpleNamespace(
@@ -39,14 +39,16 @@
         clock=clock,
         log=log,
         state=state,
-        tell_peers=lambda: None,
-        keep_quarantine=lambda _request: None,
+        advertise_to_peers=lambda: None,
+        persist_quarantine=lambda _request: None,
     )
     context = SimpleNamespace(
         until=clock.elapsed() + time_left,
         fingerprint='print',
         facts=SimpleNamespace(call_id='call'),
     )
-    note_if_crashed(tools, context, make_upstream('a'), BROKEN, clock.elapsed())
+    record_if_crashed(
+        tools, context, make_upstream('a'), BROKEN, clock.elapsed()
+    )
     assert log.of(UpstreamCrashed) == []
-    assert not state.books.crashes.has_crashes
+    assert not state.request_history.crashes.has_crashes
--- a/linnetwind/crash_book.py
+++ b/linnetwind/crash_history.py
@@ -16,7 +16,7 @@
 
 from linnetwind.ages import AgeMs
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import LifeTag
+from linnetwind.upstream_incarnation import IncarnationTag
 
 # A single crash may have any cause, and the requests that ran on the upstream
 # must be served elsewhere. It is unlikely that a request meets two crashes in a
@@ -64,21 +64,21 @@
     `of_group` tells whether the upstream was a rank whose whole group broke.
     """
 
-    life: LifeTag
+    life: IncarnationTag
     began: timedelta
     ended: timedelta
     of_group: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCrash:
+class AdvertisedCrash:
     """A `Crash` in messages to peers.
 
     It holds ages in milliseconds instead of times, since clocks differ.
     """
 
     fingerprint: Fingerprint
-    life: LifeTag
+    life: IncarnationTag
     began_ms: AgeMs
     ended_ms: AgeMs
     of_group: bool = False
@@ -101,7 +101,9 @@
         default_factory=dict
     )
 
-    def note(self, request: Fingerprint, crash: Crash, now: timedelta) -> Self:
+    def record_crash(
+        self, request: Fingerprint, crash: Crash, now: timedelta
+    ) -> Self:
         """Add a crash under a request.
 
         Args:
--- a/linnetwind/crash_book_test.py
+++ b/linnetwind/crash_history_test.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetwind.crash_book import (
+from linnetwind.crash_history import (
     FIRST_QUARANTINE,
     MAX_ADVERTISED_REQUESTS,
     MAX_KNOWN_REQUESTS,
@@ -17,20 +17,20 @@
     CrashHistory,
 )
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import LifeTag
+from linnetwind.upstream_incarnation import IncarnationTag
 
 SECOND = timedelta(seconds=1)
 BAD = Fingerprint('bad')
 
 
 def _crash(life, began, ended):
-    return Crash(LifeTag(life), began * SECOND, ended * SECOND)
+    return Crash(IncarnationTag(life), began * SECOND, ended * SECOND)
 
 
 def _history(*crashes, request=BAD):
     history = CrashHistory()
     for crash in crashes:
-        history = history.note(request, crash, crash.ended)
+        history = history.record_crash(request, crash, crash.ended)
     return history
 
 
@@ -93,19 +93,21 @@
     # its callers would be refused although every upstream can serve it.
     history = _history(_crash(1, 0, 1)).record_answer(BAD, 2 * SECOND)
     # A peer that does not know of the answer still advertises the crash.
-    history = history.note(BAD, _crash(1, 0, 1), 3 * SECOND)
-    history = history.note(BAD, _crash(2, 3, 4), 4 * SECOND)
+    history = history.record_crash(BAD, _crash(1, 0, 1), 3 * SECOND)
+    history = history.record_crash(BAD, _crash(2, 3, 4), 4 * SECOND)
     assert _is_allowed(history, at=4)
-    assert not _is_allowed(history.note(BAD, _crash(3, 4, 5), 5 * SECOND), at=5)
+    assert not _is_allowed(
+        history.record_crash(BAD, _crash(3, 4, 5), 5 * SECOND), at=5
+    )
 
 
 def test_a_repeated_advertisement_of_an_answer_counts_once():
     # State messages repeat it for seconds. A crash that happens meanwhile must
     # not be discarded by each repeat.
     history = _history(_crash(1, 0, 1)).merge_peer_answer(BAD, 2 * SECOND)
-    history = history.note(BAD, _crash(2, 2.1, 2.2), 2.2 * SECOND)
+    history = history.record_crash(BAD, _crash(2, 2.1, 2.2), 2.2 * SECOND)
     history = history.merge_peer_answer(BAD, 2.3 * SECOND)
-    history = history.note(BAD, _crash(3, 2.3, 2.4), 2.4 * SECOND)
+    history = history.record_crash(BAD, _crash(3, 2.3, 2.4), 2.4 * SECOND)
     assert not _is_allowed(history, at=2.5)
 
 
@@ -121,7 +123,9 @@
 def test_quarantined_requests_are_advertised_until_the_quarantine_ends():
     # A daemon that starts later has to learn of them too.
     history = _history(_crash(1, 0, 1), _crash(2, 1, 2))
-    history = history.note(Fingerprint('once'), _crash(3, 2, 3), 3 * SECOND)
+    history = history.record_crash(
+        Fingerprint('once'), _crash(3, 2, 3), 3 * SECOND
+    )
     assert set(history.crashes_to_advertise(3 * SECOND)) == {BAD, 'once'}
     assert set(history.crashes_to_advertise(60 * SECOND)) == {BAD}
 
@@ -131,7 +135,9 @@
     history = _history(_crash(1, 0, 1), _crash(2, 1, 2))
     for number in range(2 * MAX_KNOWN_REQUESTS):
         request = Fingerprint(f'{number}')
-        history = history.note(request, _crash(number, 2, 3), 3 * SECOND)
+        history = history.record_crash(
+            request, _crash(number, 2, 3), 3 * SECOND
+        )
     assert len(history.crashes) == MAX_KNOWN_REQUESTS
     assert (
         len(history.crashes_to_advertise(3 * SECOND)) == MAX_ADVERTISED_REQUESTS
@@ -143,7 +149,7 @@
     history = _history(_crash(1, 0, 1))
     later = 1 + 2 * FIRST_QUARANTINE.total_seconds()
     crash = _crash(2, later, later + 1)
-    history = history.note(Fingerprint('other'), crash, crash.ended)
+    history = history.record_crash(Fingerprint('other'), crash, crash.ended)
     assert BAD not in history.crashes
 
 
@@ -197,6 +203,8 @@
     history = CrashHistory()
     for number in range(5):
         crash = _rank_crash(number, 0, 1 + number / 10)
-        history = history.note(Fingerprint(f'{number}'), crash, crash.ended)
+        history = history.record_crash(
+            Fingerprint(f'{number}'), crash, crash.ended
+        )
     assert _is_allowed(history, at=2, request=Fingerprint('0'))
     assert _is_allowed(history, at=2, request=Fingerprint('4'))
--- a/linnetwind/crashes.py
+++ b/linnetwind/crash_tracker.py
@@ -6,16 +6,20 @@
 
 from linnetwind.ages import age_of, moment_of
 from linnetwind.clock import Clock
-from linnetwind.crash_book import Crash, CrashHistory, ToldCrash
+from linnetwind.crash_history import Crash, CrashHistory, AdvertisedCrash
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import Life, LifeTag, tag_life
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    IncarnationTag,
+    tag_incarnation,
+)
 
 # How many answered requests are remembered. A popular request that was answered
 # before is no suspect when a rank crashes for another reason.
 _MAX_ANSWERED = 256
 
 
-class Crashes:
+class CrashTracker:
     """Tracks crashes and decides which requests must not be forwarded.
 
     All methods may be called from any thread.
@@ -37,10 +41,10 @@
         """Return whether a crash is known under any request."""
         return bool(self._history.crashes)
 
-    def note(
+    def record_crash(
         self,
         request: Fingerprint,
-        life: Life,
+        life: UpstreamIncarnation,
         began: timedelta,
         *,
         of_group: bool = False,
@@ -59,8 +63,8 @@
         now = self._clock.elapsed()
         with self._lock:
             suspect = of_group and request not in self._answered
-            crash = Crash(tag_life(life), began, now, suspect)
-            self._history = self._history.note(request, crash, now)
+            crash = Crash(tag_incarnation(life), began, now, suspect)
+            self._history = self._history.record_crash(request, crash, now)
         return self.quarantine(request)
 
     def record_answer(self, request: Fingerprint) -> None:
@@ -79,7 +83,9 @@
                     request, self._clock.elapsed()
                 )
 
-    def restore(self, request: Fingerprint, lives: Iterable[LifeTag]) -> None:
+    def restore(
+        self, request: Fingerprint, lives: Iterable[IncarnationTag]
+    ) -> None:
         """Restore a request that was in quarantine before this process started.
 
         The quarantine restarts at its full length. Its age is unknown, since
@@ -94,10 +100,12 @@
         with self._lock:
             for life in lives:
                 crash = Crash(life, now, now)
-                self._history = self._history.note(request, crash, now)
+                self._history = self._history.record_crash(request, crash, now)
 
-    def hear(
-        self, crashes: Iterable[ToldCrash], answered: Iterable[Fingerprint]
+    def merge_advertised(
+        self,
+        crashes: Iterable[AdvertisedCrash],
+        answered: Iterable[Fingerprint],
     ) -> None:
         """Merge what a peer advertises.
 
@@ -116,15 +124,15 @@
                     moment_of(advertised.ended_ms, now),
                     advertised.of_group,
                 )
-                self._history = self._history.note(
+                self._history = self._history.record_crash(
                     advertised.fingerprint, crash, now
                 )
 
-    def tell(self) -> tuple[ToldCrash, ...]:
+    def to_advertise(self) -> tuple[AdvertisedCrash, ...]:
         """Return the crashes that peers need to learn of."""
         now = self._clock.elapsed()
         return tuple(
-            ToldCrash(
+            AdvertisedCrash(
                 request,
                 crash.life,
                 age_of(crash.began, now),
@@ -137,7 +145,7 @@
             for crash in known
         )
 
-    def tell_answered(self) -> tuple[Fingerprint, ...]:
+    def answered_to_advertise(self) -> tuple[Fingerprint, ...]:
         """Return the answered requests that peers need to learn of."""
         return self._history.answers_to_advertise(self._clock.elapsed())
 
@@ -182,7 +190,9 @@
         with self._lock:
             self._history = self._history.discard_expired(self._clock.elapsed())
 
-    def crashed_incarnations(self, request: Fingerprint) -> tuple[LifeTag, ...]:
+    def crashed_incarnations(
+        self, request: Fingerprint
+    ) -> tuple[IncarnationTag, ...]:
         """Return the upstreams that crashed under a request.
 
         Args:
--- a/linnetwind/limits.py
+++ b/linnetwind/customer_rate_limits.py
@@ -54,7 +54,7 @@
     retry_after: timedelta
 
 
-class Limiter:
+class CustomerRateLimiter:
     """The rate limiter of an entry daemon, with an account per customer."""
 
     def __init__(self, clock: Clock, fraction: float) -> None:
@@ -63,7 +63,7 @@
         Args:
           clock: Measures the time between refills.
           fraction: The fraction of each limit that this daemon may use until
-            `take_fractions` replaces it.
+            `update_fractions` replaces it.
         """
         self._clock = clock
         self._fraction = fraction
@@ -109,7 +109,7 @@
                 mean_tokens + (used - mean_tokens) * _SMOOTHING
             )
 
-    def take_fractions(self, fractions: Mapping[str, float]) -> None:
+    def update_fractions(self, fractions: Mapping[str, float]) -> None:
         """Set the fraction of some customers' limits that this daemon may use.
 
         Args:
@@ -120,7 +120,7 @@
             if account is not None:
                 account.fraction = max(fraction, _MIN_FRACTION)
 
-    def take_demand(self) -> dict[str, tuple[float, float]]:
+    def collect_demand(self) -> dict[str, tuple[float, float]]:
         """Return the demand since the previous call, and reset it.
 
         Returns:
--- a/linnetwind/limits_test.py
+++ b/linnetwind/customer_rate_limits_test.py
@@ -7,7 +7,11 @@
 
 from linnetwind.clock import ManualClock
 from linnetwind.config import Customer, Routing
-from linnetwind.limits import Admitted, Limiter, OverLimit
+from linnetwind.customer_rate_limits import (
+    Admitted,
+    CustomerRateLimiter,
+    OverLimit,
+)
 from linnetwind.messages import CustomerDemand, Demand
 from linnetwind.outcome import NotRun, Reason, Unknown
 from linnetwind.retry import Attempt, GiveUp, Retry, RetryBudget, after_failure
@@ -16,9 +20,9 @@
     NoCandidate,
     RouteRequest,
     choose,
-    choose_home,
+    choose_slot_owner,
 )
-from linnetwind.shares import FORGET_AFTER, ShareHome, home_of
+from linnetwind.shares import DEMAND_EXPIRY, ShareAllocator, share_owner
 
 CUSTOMER = Customer('c', 'x', 60, 6000)
 SECOND = timedelta(seconds=1)
@@ -31,7 +35,7 @@
 
 
 def test_rejection_states_the_time_until_the_next_request(clock):
-    limiter = Limiter(clock, 1)
+    limiter = CustomerRateLimiter(clock, 1)
     while isinstance(decision := limiter.admit(CUSTOMER, 1), Admitted):
         continue
     assert timedelta() < decision.retry_after <= SECOND
@@ -40,14 +44,14 @@
 
 
 def test_tokens_beyond_the_estimate_are_deducted_afterwards(clock):
-    limiter = Limiter(clock, 1)
+    limiter = CustomerRateLimiter(clock, 1)
     admitted = limiter.admit(CUSTOMER, 10)
     limiter.settle(CUSTOMER, admitted, 5000)
     assert isinstance(limiter.admit(CUSTOMER, 10), OverLimit)
 
 
 def test_request_that_did_not_run_costs_nothing(clock):
-    limiter = Limiter(clock, 1)
+    limiter = CustomerRateLimiter(clock, 1)
     for _request in range(5):
         admitted = limiter.admit(CUSTOMER, 400)
         assert isinstance(admitted, Admitted)
@@ -55,11 +59,11 @@
 
 
 def test_shares_follow_demand_and_sum_up_to_one(clock):
-    allocator = ShareHome(clock)
+    allocator = ShareAllocator(clock)
     demand = {'a': 90.0, 'b': 10.0}
     for _round in range(2):
         fractions = {
-            entry: allocator.take(
+            entry: allocator.apply_demand(
                 Demand(entry, (CustomerDemand('c', 0, asked),))
             )
             .shares[0]
@@ -71,18 +75,18 @@
 
 
 def test_share_of_a_stopped_entry_daemon_is_freed(clock):
-    allocator = ShareHome(clock)
-    allocator.take(Demand('a', (CustomerDemand('c', 0, 90),)))
-    clock.advance(FORGET_AFTER * 2)
-    shares = allocator.take(Demand('b', (CustomerDemand('c', 0, 10),)))
+    allocator = ShareAllocator(clock)
+    allocator.apply_demand(Demand('a', (CustomerDemand('c', 0, 90),)))
+    clock.advance(DEMAND_EXPIRY * 2)
+    shares = allocator.apply_demand(Demand('b', (CustomerDemand('c', 0, 10),)))
     assert shares.shares[0].fraction == pytest.approx(1)
 
 
 def test_owner_changes_only_for_customers_of_a_lost_side():
     sides = [f'side-{number}' for number in range(10)]
     customers = [f'customer-{number}' for number in range(200)]
-    before = {name: home_of(name, sides) for name in customers}
-    after = {name: home_of(name, sides[1:]) for name in customers}
+    before = {name: share_owner(name, sides) for name in customers}
+    after = {name: share_owner(name, sides[1:]) for name in customers}
     moved = {name for name in customers if before[name] != after[name]}
     assert moved == {name for name in customers if before[name] == sides[0]}
 
@@ -182,7 +186,7 @@
 def test_owner_of_a_slot_does_not_depend_on_the_order():
     three = [candidate(name) for name in ('a', 'b', 'c')]
     owners = {
-        choose_home(order, 'codes', 7).upstream
+        choose_slot_owner(order, 'codes', 7).upstream
         for order in (three, three[::-1], three[1:] + three[:1])
     }
     assert len(owners) == 1
--- a/linnetwind/daemon_threads.py
+++ b/linnetwind/daemon_threads.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from socket import socket
 
-from linnetwind.step_log import StepLog
+from linnetwind.event_log import EventLog
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     round of a thread catches and logs all exceptions.
     """
 
-    def __init__(self, log: StepLog) -> None:
+    def __init__(self, log: EventLog) -> None:
         """Start without threads.
 
         Args:
@@ -50,7 +50,9 @@
             target=self.guarded, args=(work, name), name=name, daemon=True
         ).start()
 
-    def for_ever(self, work: Callable[[], timedelta | None], name: str) -> None:
+    def repeat_forever(
+        self, work: Callable[[], timedelta | None], name: str
+    ) -> None:
         """Call a function repeatedly in a thread until the process ends.
 
         Args:
@@ -83,7 +85,7 @@
             sock, _peer = listener.accept()
             pool.submit(self._serve, serve, sock, name)
 
-        self.for_ever(accept_one, f'{name}-accept')
+        self.repeat_forever(accept_one, f'{name}-accept')
 
     def guarded(self, work: Callable[[], timedelta | None], name: str) -> None:
         """Run one round, and log an exception instead of raising it.
--- a/linnetwind/dispatch.py
+++ b/linnetwind/dispatch.py
@@ -4,10 +4,10 @@
 from datetime import timedelta
 from itertools import count
 
-from linnetwind.call_run import InFlightCall, OpenAnswer, SentCall
+from linnetwind.in_flight_call import InFlightCall, OpenResponse, SentCall
 from linnetwind.clock import Clock
-from linnetwind.decisions import log_decision
-from linnetwind.dispatch_crashes import DispatchCrashes
+from linnetwind.decision_log import log_decision
+from linnetwind.dispatch_crash_tracker import DispatchCrashTracker
 from linnetwind.fleet import Fleet
 from linnetwind.http_request import CheckedRequest
 from linnetwind.link_pool import LinkPool
@@ -19,7 +19,7 @@
     NoCandidate,
     RouteRequest,
     choose,
-    choose_home,
+    choose_slot_owner,
     exclude_tried,
 )
 
@@ -59,10 +59,10 @@
         self._rng = rng
         self._call_numbers = count()
         self._budget = RetryBudget(0)
-        self._crashes = DispatchCrashes(clock)
+        self._crashes = DispatchCrashTracker(clock)
         self._lock = links.lock
 
-    def open(self, request: CheckedRequest) -> OpenAnswer | NotRun | Unknown:
+    def open(self, request: CheckedRequest) -> OpenResponse | NotRun | Unknown:
         """Run a request until its response starts or the request fails.
 
         Args:
@@ -83,7 +83,7 @@
         while True:
             attempts -= 1
             attempt_result = self._attempt(request, frozenset(tried), deadline)
-            if isinstance(attempt_result, OpenAnswer):
+            if isinstance(attempt_result, OpenResponse):
                 return attempt_result
             outcome, upstream = attempt_result
             tried.add(upstream)
@@ -118,7 +118,7 @@
         request: CheckedRequest,
         tried: frozenset[str],
         deadline: timedelta,
-    ) -> OpenAnswer | tuple[NotRun | Unknown, str]:
+    ) -> OpenResponse | tuple[NotRun | Unknown, str]:
         with self._lock:
             choice = self._choose(request, tried)
         if isinstance(choice, NoCandidate):
@@ -129,9 +129,9 @@
         if isinstance(run, NotRun):
             return run, choice.upstream
         opened = run.open()
-        if isinstance(opened, OpenAnswer):
-            return self._crashes.watch(request, started_at, opened)
-        self._crashes.note(request, started_at, opened)
+        if isinstance(opened, OpenResponse):
+            return self._crashes.track_answer(request, started_at, opened)
+        self._crashes.record_crash(request, started_at, opened)
         return opened, choice.upstream
 
     def _choose(
@@ -153,7 +153,9 @@
         if identity is None:
             choice = choose(untried, route, base.routing, self._rng)
         else:
-            choice = choose_home(untried, request.service.name, identity.slot)
+            choice = choose_slot_owner(
+                untried, request.service.name, identity.slot
+            )
         _log_choice(request, choice)
         return choice
 
@@ -165,11 +167,11 @@
         if link is None:
             return NotRun(Reason.UNREACHABLE, _SECOND)
         with self._lock:
-            self._fleet.call_sent(upstream, request.blocks)
+            self._fleet.record_call_sent(upstream, request.blocks)
         started = link.start(call)
         if started.is_err():
             with self._lock:
-                self._fleet.call_ended(upstream, failed=True)
+                self._fleet.record_call_end(upstream, failed=True)
             return NotRun(Reason.UNREACHABLE, _SECOND)
         return InFlightCall(
             SentCall(upstream, link, started.unwrap(), deadline),
--- a/linnetwind/dispatch_crashes.py
+++ b/linnetwind/dispatch_crash_tracker.py
@@ -5,19 +5,19 @@
 from datetime import timedelta
 from itertools import count
 
-from linnetwind.call_run import BrokenAnswer, OpenAnswer
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.clock import Clock
-from linnetwind.crashes import Crashes
-from linnetwind.decisions import log_decision
+from linnetwind.crash_tracker import CrashTracker
+from linnetwind.decision_log import log_decision
 from linnetwind.fingerprint import Fingerprint, fingerprint_request
 from linnetwind.http_request import CheckedRequest
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.outcome import NotRun, Reason, Unknown
 
 _FIRST_FAILURE = 400
 
 
-class DispatchCrashes:
+class DispatchCrashTracker:
     """Tracks the crashes under one entry daemon's requests.
 
     Entry daemons do not advertise crashes to each other.
@@ -29,7 +29,7 @@
         Args:
           clock: Gives the times of crashes and the ends of quarantines.
         """
-        self._crashes = Crashes(clock)
+        self._crashes = CrashTracker(clock)
         # Side daemons do not report which incarnation of an upstream crashed,
         # so every crash gets an incarnation name of its own.
         self._crash_numbers = count()
@@ -50,7 +50,7 @@
             None if remaining is None else NotRun(Reason.QUARANTINED, remaining)
         )
 
-    def note(
+    def record_crash(
         self,
         request: CheckedRequest,
         began: timedelta,
@@ -66,8 +66,8 @@
         if outcome.reason is not Reason.UPSTREAM_CRASHED:
             return
         fingerprint = _fingerprint(request)
-        crash = Life(f'crash-{next(self._crash_numbers)}')
-        remaining = self._crashes.note(fingerprint, crash, began)
+        crash = UpstreamIncarnation(f'crash-{next(self._crash_numbers)}')
+        remaining = self._crashes.record_crash(fingerprint, crash, began)
         log_decision(
             'upstream_crashed',
             {
@@ -77,9 +77,9 @@
             },
         )
 
-    def watch(
-        self, request: CheckedRequest, began: timedelta, opened: OpenAnswer
-    ) -> OpenAnswer:
+    def track_answer(
+        self, request: CheckedRequest, began: timedelta, opened: OpenResponse
+    ) -> OpenResponse:
         """Wrap a response so that its end is recorded.
 
         Args:
@@ -94,12 +94,12 @@
         return replace(opened, body=self._tracked(request, began, opened))
 
     def _tracked(
-        self, request: CheckedRequest, began: timedelta, opened: OpenAnswer
+        self, request: CheckedRequest, began: timedelta, opened: OpenResponse
     ) -> Iterator[bytes]:
         try:
             yield from opened.body
-        except BrokenAnswer as broken:
-            self.note(request, began, broken.outcome)
+        except InterruptedResponse as broken:
+            self.record_crash(request, began, broken.outcome)
             raise
         if self._crashes.has_crashes and opened.status < _FIRST_FAILURE:
             self._crashes.record_answer(_fingerprint(request))
--- a/linnetwind/stop_turns.py
+++ b/linnetwind/drain_order.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from linnetwind.peer_book import PeerBook, ReceivedState
+from linnetwind.peer_table import PeerTable, ReceivedState
 
 # The time after a restart until the platform routes callers to a daemon: it
 # needs one successful readiness probe, and sends one each second.
@@ -67,7 +67,7 @@
 
 
 def plans_while_stopping(
-    peer_table: PeerBook, own: StopTime, now: timedelta
+    peer_table: PeerTable, own: StopTime, now: timedelta
 ) -> bool:
     """Return whether a stopping daemon still plans the expert maps.
 
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class FleetDaemon:
     """A daemon, its site, and its stop time (None if it is not stopping)."""
 
     name: str
@@ -115,11 +115,11 @@
     callers are routed at present.
     """
 
-    serving: tuple[Host, ...]
+    serving: tuple[FleetDaemon, ...]
     daemon_count: int
 
 
-def reachable_fleet(peer_table: PeerBook, now: timedelta) -> Fleet:
+def reachable_fleet(peer_table: PeerTable, now: timedelta) -> Fleet:
     """Return the peers to which the platform routes callers.
 
     Args:
@@ -138,7 +138,7 @@
     return Fleet(tuple(serving), 1 + len(peer_table.received))
 
 
-def covering_daemons(own: Host, fleet: Fleet) -> list[Host]:
+def covering_daemons(own: FleetDaemon, fleet: Fleet) -> list[FleetDaemon]:
     """Return the daemons that keep serving while this one drains.
 
     Args:
@@ -151,7 +151,7 @@
     return [each for each in fleet.serving if _drains_after(own, each)]
 
 
-def may_drain(own: Host, fleet: Fleet) -> bool:
+def may_drain(own: FleetDaemon, fleet: Fleet) -> bool:
     """Decide whether it is a daemon's turn to drain.
 
     Args:
@@ -166,7 +166,7 @@
     return len(covering_daemons(own, fleet)) >= needed
 
 
-def is_awaited(own: Host, fleet: Fleet) -> bool:
+def is_awaited(own: FleetDaemon, fleet: Fleet) -> bool:
     """Return whether other daemons wait for a daemon to drain and restart.
 
     Args:
@@ -182,7 +182,7 @@
     )
 
 
-def keeps_serving(other: Host, own: Host, fleet: Fleet) -> bool:
+def keeps_serving(other: FleetDaemon, own: FleetDaemon, fleet: Fleet) -> bool:
     """Return whether another daemon serves while this one drains.
 
     Args:
@@ -199,8 +199,8 @@
     return not may_drain(other, Fleet(serving, fleet.daemon_count))
 
 
-def _daemon_of(received: ReceivedState) -> Host:
-    return Host(
+def _daemon_of(received: ReceivedState) -> FleetDaemon:
+    return FleetDaemon(
         received.state.name, received.state.site, stop_time_of(received)
     )
 
@@ -210,7 +210,7 @@
     return since is not None and now - since >= RESTART_DELAY
 
 
-def _drains_after(own: Host, other: Host) -> bool:
+def _drains_after(own: FleetDaemon, other: FleetDaemon) -> bool:
     if other.stop_time is None or own.stop_time is None:
         return other.stop_time is None
     return drains_before(own.stop_time, other.stop_time)
--- a/linnetwind/stop_turns_test.py
+++ b/linnetwind/drain_order_test.py
@@ -4,12 +4,12 @@
 from datetime import timedelta
 
 from linnetwind.address import Address
-from linnetwind.peer_book import PeerBook
-from linnetwind.stop_turns import (
+from linnetwind.peer_table import PeerTable
+from linnetwind.drain_order import (
     MAX_PLANNING_TIME,
     RESTART_DELAY,
     Fleet,
-    Host,
+    FleetDaemon,
     StopTime,
     covering_daemons,
     drains_before,
@@ -31,25 +31,29 @@
 
 
 def _peer_table(*states, at=NOW):
-    peer_table = PeerBook(OWN)
+    peer_table = PeerTable(OWN)
     for state in states:
         # Received before, so that callers are routed to it already.
         first = replace(state, counter=0, leaving=False)
-        peer_table = peer_table.hear(first, at - RESTART_DELAY).hear(state, at)
+        peer_table = peer_table.merge_advertised(
+            first, at - RESTART_DELAY
+        ).merge_advertised(state, at)
     return peer_table
 
 
 def _stopped(name, ago):
-    return Host(name, 's', StopTime(name, NOW - ago))
+    return FleetDaemon(name, 's', StopTime(name, NOW - ago))
 
 
 def _stays(name):
-    return Host(name, 's', None)
+    return FleetDaemon(name, 's', None)
 
 
 def test_a_peer_advertises_how_long_ago_it_was_stopped():
     peer_table = _peer_table(_state('b', leaving=True, stopping_ms=400))
-    expected = Host('b', 's', StopTime('b', NOW - timedelta(milliseconds=400)))
+    expected = FleetDaemon(
+        'b', 's', StopTime('b', NOW - timedelta(milliseconds=400))
+    )
     assert reachable_fleet(peer_table, NOW) == Fleet((expected,), 2)
 
 
@@ -58,13 +62,13 @@
     # a daemon before. When the last two daemons drained as soon as they
     # received its first state, they rejected 67 callers that no other daemon
     # served.
-    peer_table = PeerBook(OWN).hear(
+    peer_table = PeerTable(OWN).merge_advertised(
         _state('b', leaving=True), NOW - 9 * RESTART_DELAY
     )
-    peer_table = peer_table.hear(_state('b', start_id='next'), NOW)
+    peer_table = peer_table.merge_advertised(_state('b', start_id='next'), NOW)
     assert reachable_fleet(peer_table, NOW) == Fleet((), 2)
     later = replace(_state('b', start_id='next'), counter=2)
-    peer_table = peer_table.hear(later, NOW + RESTART_DELAY)
+    peer_table = peer_table.merge_advertised(later, NOW + RESTART_DELAY)
     assert reachable_fleet(peer_table, NOW + RESTART_DELAY) == Fleet(
         (_stays('b'),), 2
     )
@@ -134,4 +138,4 @@
 
 def test_a_daemon_near_its_end_plans_no_more():
     own = StopTime('a', NOW - MAX_PLANNING_TIME - SOON)
-    assert not plans_while_stopping(PeerBook(OWN), own, NOW)
+    assert not plans_while_stopping(PeerTable(OWN), own, NOW)
--- a/linnetwind/engine_feed.py
+++ b/linnetwind/engine_feed.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class EngineNews:
+class EngineUpdates:
     """The engine's step time, and cache changes since the previous read.
 
     `step_ms` is in milliseconds; 0 means that it is unknown. `cached` and
@@ -65,7 +65,7 @@
         self._address = address
         self._next_event = 0
 
-    def news(self) -> EngineNews:
+    def updates(self) -> EngineUpdates:
         """Read the load and the events that are new since the last call.
 
         Returns:
@@ -83,7 +83,7 @@
             self._next_event = new_events[-1].number + 1
         latest = {event.block: event.kind for event in new_events}
         stored = {block for block, kind in latest.items() if kind == _STORED}
-        return EngineNews(
+        return EngineUpdates(
             load.step_ms if load else 0,
             tuple(stored),
             tuple(set(latest) - stored),
--- a/linnetwind/entry_app.py
+++ b/linnetwind/entry_app.py
@@ -12,9 +12,9 @@
 from loguru import logger
 from result import Err, Ok
 
-from linnetwind.call_run import BrokenAnswer, OpenAnswer
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.config import ServiceKind
-from linnetwind.decisions import log_decision
+from linnetwind.decision_log import log_decision
 from linnetwind.dispatch import Dispatcher
 from linnetwind.entry_metrics import EntryMetrics
 from linnetwind.fleet import Fleet
@@ -149,13 +149,13 @@
             yield self._error_response(start_response, request_id, refusal)
             return
         opened = self._open(checked)
-        if isinstance(opened, OpenAnswer):
+        if isinstance(opened, OpenResponse):
             yield from self._relay(start_response, checked, opened)
         else:
             self._settle(checked, 0)
             yield self._error_response(start_response, request_id, opened)
 
-    def _open(self, checked: CheckedRequest) -> OpenAnswer | NotRun | Unknown:
+    def _open(self, checked: CheckedRequest) -> OpenResponse | NotRun | Unknown:
         try:
             return self._dispatcher.open(checked)
         except Exception:
@@ -188,7 +188,7 @@
         self,
         start_response: StartResponse,
         checked: CheckedRequest,
-        opened: OpenAnswer,
+        opened: OpenResponse,
     ) -> Iterator[bytes]:
         headers = [*opened.headers, ('X-Request-Id', checked.request_id)]
         start_response(_status_line(opened.status), headers)
@@ -197,7 +197,7 @@
             for body in opened.body:
                 tokens += _generated_tokens(checked, body)
                 yield body
-        except BrokenAnswer as broken:
+        except InterruptedResponse as broken:
             self._record_failure(checked.request_id, broken.outcome)
             if checked.streamed:
                 yield _error_event(checked.request_id, broken.outcome)
--- a/linnetwind/entry_daemon.py
+++ b/linnetwind/entry_daemon.py
@@ -16,7 +16,7 @@
 from linnetwind.background import guarded, in_background
 from linnetwind.clock import SystemClock
 from linnetwind.config_fold import ConfigState
-from linnetwind.config_merge import at_site
+from linnetwind.config_merge import effective_base
 from linnetwind.dispatch import make_dispatcher
 from linnetwind.entry_app import EntryApp
 from linnetwind.entry_http import EntryServer
@@ -31,10 +31,10 @@
     ConfigCopy,
     ConfigQuery,
     Leaving,
-    Load,
+    LoadReport,
     Shares,
 )
-from linnetwind.peer import Identity
+from linnetwind.peer_connection import Identity
 from linnetwind.platform_clients import make_follower, make_hosts
 from linnetwind.settings import EntrySettings
 
@@ -122,9 +122,9 @@
     def _apply_state(self, state: ConfigState) -> None:
         if state.deployment is None:
             return
-        base = at_site(state.deployment, self._settings.site)
+        base = effective_base(state.deployment, self._settings.site)
         with self._links.lock:
-            self._fleet.take_base(base)
+            self._fleet.update_base(base)
         self._metrics.record_revision(state.revision)
         logger.info('configuration revision {} in force', state.revision)
 
@@ -149,7 +149,7 @@
         match self._hosts.read():
             case Ok(hosts):
                 with self._links.lock:
-                    self._fleet.take_hosts(hosts)
+                    self._fleet.update_hosts(hosts)
             case Err(failed):
                 logger.warning('{}', failed.describe())
 
@@ -174,9 +174,9 @@
 
     def _handle_message(self, host: str, link: Link, message: Any) -> None:
         match message:
-            case Load():
+            case LoadReport():
                 with self._links.lock:
-                    self._fleet.take_load(message)
+                    self._fleet.apply_load(message)
             case Leaving(upstreams):
                 with self._links.lock:
                     self._fleet.apply_leaving(host, upstreams)
--- a/linnetwind/entry_limits.py
+++ b/linnetwind/entry_limits.py
@@ -8,13 +8,17 @@
 from collections import defaultdict
 
 from linnetwind.clock import Clock
-from linnetwind.decisions import log_decision
+from linnetwind.decision_log import log_decision
 from linnetwind.http_request import CheckedRequest
-from linnetwind.limits import Admitted, Limiter, OverLimit
+from linnetwind.customer_rate_limits import (
+    Admitted,
+    CustomerRateLimiter,
+    OverLimit,
+)
 from linnetwind.link_pool import LinkPool
 from linnetwind.messages import CustomerDemand, Demand, Shares
 from linnetwind.outcome import NotRun, Reason
-from linnetwind.shares import home_of
+from linnetwind.shares import share_owner
 
 # The fraction of each limit that a daemon uses until it has received its
 # share from the owner. Only a few entry hosts behind the balancer share a
@@ -35,7 +39,7 @@
         """
         self._name = name
         self._links = links
-        self._limiter = Limiter(clock, INITIAL_FRACTION)
+        self._limiter = CustomerRateLimiter(clock, INITIAL_FRACTION)
         self._admitted: dict[str, Admitted] = {}
         self._lock = threading.Lock()
 
@@ -71,11 +75,11 @@
     def exchange(self) -> None:
         """Send this daemon's demand to the owners; called once a second."""
         with self._lock:
-            demand = self._limiter.take_demand()
+            demand = self._limiter.collect_demand()
         links = {link.peer.name: link for link in self._links.links.values()}
         demands_by_owner: dict[str, list[CustomerDemand]] = defaultdict(list)
         for customer, (requests, tokens) in demand.items():
-            owner = home_of(customer, list(links))
+            owner = share_owner(customer, list(links))
             if owner is not None:
                 customer_demand = CustomerDemand(customer, requests, tokens)
                 demands_by_owner[owner].append(customer_demand)
@@ -90,7 +94,7 @@
         """
         fractions = {share.customer: share.fraction for share in shares.shares}
         with self._lock:
-            self._limiter.take_fractions(fractions)
+            self._limiter.update_fractions(fractions)
 
 
 def _over_limit(request: CheckedRequest, decision: OverLimit) -> NotRun:
--- a/linnetwind/step_log.py
+++ b/linnetwind/event_log.py
@@ -35,7 +35,7 @@
     count: int
 
 
-class StepLog:
+class EventLog:
     """Writes typed events as JSON lines, in a thread of its own."""
 
     def __init__(self, daemon: str, clock: Clock, stream: TextIO) -> None:
@@ -127,7 +127,7 @@
                     each.set()
 
 
-def stdout_log(daemon: str, clock: Clock) -> StepLog:
+def stdout_log(daemon: str, clock: Clock) -> EventLog:
     """Return a log that writes to standard output.
 
     Args:
@@ -137,7 +137,7 @@
     Returns:
       The log.
     """
-    return StepLog(daemon, clock, sys.stdout)
+    return EventLog(daemon, clock, sys.stdout)
 
 
 def _do_nothing(_event: Any) -> None:
--- a/linnetwind/step_log_test.py
+++ b/linnetwind/event_log_test.py
@@ -7,7 +7,7 @@
 from datetime import UTC, datetime, timedelta
 
 from linnetwind.clock import ManualClock
-from linnetwind.step_log import MAX_QUEUED_LINES, StepLog
+from linnetwind.event_log import MAX_QUEUED_LINES, EventLog
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 
@@ -23,7 +23,7 @@
 def test_an_event_is_written_as_one_line_with_its_fields():
     reader, writer = os.pipe()
     with os.fdopen(reader) as source, os.fdopen(writer, 'w') as stream:
-        StepLog('d', ManualClock(NOW), stream).event(SampleEvent('x'))
+        EventLog('d', ManualClock(NOW), stream).event(SampleEvent('x'))
         assert json.loads(source.readline()) == {
             'time': '2026-01-01T00:00:00.000+00:00',
             'daemon': 'd',
@@ -38,7 +38,7 @@
     # count is written when there is room.
     reader, writer = os.pipe()
     with os.fdopen(reader) as source, os.fdopen(writer, 'w') as stream:
-        log = StepLog('d', ManualClock(NOW), stream)
+        log = EventLog('d', ManualClock(NOW), stream)
         seen = []
         log.observe_with(seen.append)
         done = threading.Event()
@@ -70,7 +70,7 @@
     # was still queued behind them, the log did not show that it had stopped.
     reader, writer = os.pipe()
     with os.fdopen(reader) as source, os.fdopen(writer, 'w') as stream:
-        log = StepLog('d', ManualClock(NOW), stream)
+        log = EventLog('d', ManualClock(NOW), stream)
         for _line in range(2000):
             log.event(SampleEvent('refused' * 20))
         log.event(SampleEvent('stopped'))
--- a/linnetwind/expert_demand.py
+++ b/linnetwind/expert_demand.py
@@ -5,9 +5,9 @@
 from datetime import timedelta
 from typing import Self
 
-from linnetwind.rank_messages import goes_on
+from linnetwind.rank_messages import counts_continue
 from linnetwind.rank_packing import split_counts
-from linnetwind.rank_types import CountLanes
+from linnetwind.rank_types import LaneCounts
 
 # The half-life of the weight of counted demand. The popular experts change
 # within seconds, and a tenth of a second already holds thousands of choices.
@@ -27,12 +27,12 @@
     monotonic time of the last update.
     """
 
-    last_counts: Mapping[int, CountLanes] = field(default_factory=dict)
+    last_counts: Mapping[int, LaneCounts] = field(default_factory=dict)
     recent: tuple[float, ...] = ()
     updated_at: timedelta = timedelta()
 
     def apply_counts(
-        self, counts: Mapping[int, CountLanes], now: timedelta
+        self, counts: Mapping[int, LaneCounts], now: timedelta
     ) -> Self:
         """Return the demand updated with newer counts.
 
@@ -53,7 +53,7 @@
             new.lanes - self.last_counts[rank].lanes
             for rank, new in counts.items()
             if new.size == len(recent)
-            and goes_on(self.last_counts.get(rank), new)
+            and counts_continue(self.last_counts.get(rank), new)
         )
         added = split_counts(increase, len(recent))
         recent = tuple(
--- a/linnetwind/expert_demand_test.py
+++ b/linnetwind/expert_demand_test.py
@@ -5,14 +5,14 @@
 import pytest
 
 from linnetwind.expert_demand import HALF_LIFE, ExpertDemand
-from linnetwind.rank_messages import count_lanes
+from linnetwind.rank_messages import make_lane_counts
 from linnetwind.rank_types import RankCounts
 
 SECOND = timedelta(seconds=1)
 
 
 def _counts(*counts, epoch=1):
-    return {0: count_lanes(RankCounts(epoch, 5, counts))}
+    return {0: make_lane_counts(RankCounts(epoch, 5, counts))}
 
 
 def test_only_increases_of_counts_add_demand():
@@ -42,8 +42,8 @@
 
 def _counts_of_two_ranks(first, second, step, born_ms):
     return {
-        0: count_lanes(RankCounts(1, step, (first, 0), 1)),
-        1: count_lanes(RankCounts(1, step, (second, 0), born_ms)),
+        0: make_lane_counts(RankCounts(1, step, (first, 0), 1)),
+        1: make_lane_counts(RankCounts(1, step, (second, 0), born_ms)),
     }
 
 
@@ -70,7 +70,7 @@
     demand = demand.apply_counts(
         {
             **_counts_of_two_ranks(600, 10, 6, born_ms),
-            1: count_lanes(RankCounts(1, 0, (10, 0), born_ms)),
+            1: make_lane_counts(RankCounts(1, 0, (10, 0), born_ms)),
         },
         SECOND,
     )
--- a/linnetwind/expert_load.py
+++ b/linnetwind/expert_load.py
@@ -22,7 +22,7 @@
     trust: float = 1
 
 
-def take_counts(
+def update_load_estimate(
     estimate: LoadEstimate,
     tokens: Sequence[Sequence[float]],
     slowness: Sequence[float],
--- a/linnetwind/fleet.py
+++ b/linnetwind/fleet.py
@@ -13,7 +13,7 @@
 from linnetwind.clock import Clock
 from linnetwind.config import Base, Service, Upstream
 from linnetwind.hosts_port import Host, HostState
-from linnetwind.messages import Load
+from linnetwind.messages import LoadReport
 from linnetwind.routing import Candidate
 
 # The number of consecutive failures after which an upstream is ejected.
@@ -35,7 +35,7 @@
     those in flight.
     """
 
-    report: Load | None = None
+    report: LoadReport | None = None
     sent: int = 0
     finished_since_report: int = 0
     own: int = 0
@@ -73,7 +73,7 @@
         """Return the hosts of the latest host list by name."""
         return self._hosts
 
-    def take_base(self, base: Base) -> None:
+    def update_base(self, base: Base) -> None:
         """Replace the configuration.
 
         Args:
@@ -89,7 +89,7 @@
         for name in set(self._states) - known:
             self._states.pop(name)
 
-    def take_hosts(self, hosts: Sequence[Host]) -> None:
+    def update_hosts(self, hosts: Sequence[Host]) -> None:
         """Replace the host list.
 
         Args:
@@ -127,7 +127,7 @@
             hosts |= regional_hosts if connected_hosts else all_hosts
         return hosts & set(self._hosts)
 
-    def connected(self, host: str) -> None:
+    def record_connected(self, host: str) -> None:
         """Record a new connection, and discard reports of the previous one.
 
         Args:
@@ -140,7 +140,7 @@
             state.sent = 0
             state.last_frame_at = self._clock.elapsed()
 
-    def disconnected(self, host: str) -> None:
+    def record_disconnected(self, host: str) -> None:
         """Record the end of a connection.
 
         Args:
@@ -160,7 +160,7 @@
         """
         self._leaving[host] = frozenset(upstreams)
 
-    def take_load(self, load: Load) -> None:
+    def apply_load(self, load: LoadReport) -> None:
         """Apply the load report of an upstream.
 
         Args:
@@ -175,7 +175,7 @@
         for block in load.uncached:
             state.cached.pop(block, None)
 
-    def call_sent(self, upstream: str, blocks: Sequence[int]) -> None:
+    def record_call_sent(self, upstream: str, blocks: Sequence[int]) -> None:
         """Record that this daemon has sent a call.
 
         Args:
@@ -191,7 +191,7 @@
         for block in blocks:
             self._record_cached_block(state, block)
 
-    def sign_of_life(self, upstream: str) -> None:
+    def record_frame_received(self, upstream: str) -> None:
         """Record that a frame was received from an upstream.
 
         Args:
@@ -199,7 +199,7 @@
         """
         self._state_of(upstream).last_frame_at = self._clock.elapsed()
 
-    def call_ended(self, upstream: str, *, failed: bool) -> None:
+    def record_call_end(self, upstream: str, *, failed: bool) -> None:
         """Record the end of a call of this daemon.
 
         Args:
@@ -297,7 +297,7 @@
         self, upstream: Upstream, blocks: Sequence[int]
     ) -> Candidate:
         state = self._state_of(upstream.name)
-        report = state.report or Load(upstream.name, 0, 0, 0, 0, 0, 0)
+        report = state.report or LoadReport(upstream.name, 0, 0, 0, 0, 0, 0)
         silence = _ZERO
         if state.own > 0:
             silence = self._clock.elapsed() - state.last_frame_at
--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -12,7 +12,7 @@
 from linnetwind.caller_connection import (
     BadRequest,
     CallerConnection,
-    CallerGone,
+    ConnectionEnded,
 )
 from linnetwind.caller_service import serve_caller
 from linnetwind.clock import Clock
@@ -24,15 +24,15 @@
 from linnetwind.gateway_setup import GatewayPorts, GatewaySetup
 from linnetwind.gateway_state import GatewayState
 from linnetwind.gateway_stop import make_stop
-from linnetwind.journey import GatewayTools
+from linnetwind.request_context import GatewayContext
 from linnetwind.map_planner import MapPlanner
 from linnetwind.peer_mesh import MeshSettings, PeerMesh
-from linnetwind.quarantine_keeper import QuarantineKeeper
+from linnetwind.quarantine_store import QuarantineStore
 from linnetwind.rank_link import RankLink
 from linnetwind.routes import CallerLimits
-from linnetwind.step_log import StepLog
+from linnetwind.event_log import EventLog
 from linnetwind.stop_signals import StopSignals
-from linnetwind.stop_turns import Host
+from linnetwind.drain_order import FleetDaemon
 from linnetwind.upstream_call import open_call
 from linnetwind.upstream_list import Upstream
 
@@ -77,7 +77,7 @@
         setup: GatewaySetup,
         ports: GatewayPorts,
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
     ) -> None:
         """Open the sockets.
 
@@ -97,7 +97,7 @@
         self._metrics = GatewayMetrics()
         log.observe_with(self._metrics.observe)
         self._threads = DaemonThreads(log)
-        self._state = GatewayState(clock, setup.mesh, setup.repeats)
+        self._state = GatewayState(clock, setup.mesh, setup.retry_terms)
         mesh = MeshSettings(
             setup.name,
             setup.site,
@@ -116,26 +116,26 @@
         self._stop = make_stop(
             clock,
             setup.stop_within,
-            Host(setup.name, setup.site, stop_time=None),
+            FleetDaemon(setup.name, setup.site, stop_time=None),
             lambda: self._state.peer_table,
         )
-        self._quarantines = QuarantineKeeper(
+        self._quarantines = QuarantineStore(
             ports.feeds.open_store(),
-            self._state.books.crashes,
+            self._state.request_history.crashes,
             self._mesh.leads,
             lambda: self._state.upstreams.era,
             clock,
             log,
         )
-        self._tools = GatewayTools(
+        self._tools = GatewayContext(
             self._state,
             ports.dialect,
             clock,
             log,
             open_call,
             self._stop,
-            tell_peers=self._mesh.advertise_now,
-            keep_quarantine=self._quarantines.keep,
+            advertise_to_peers=self._mesh.advertise_now,
+            persist_quarantine=self._quarantines.persist,
         )
 
     def run(self) -> None:
@@ -147,8 +147,8 @@
         )
         self._feeds.start(self._threads)
         self._mesh.start(self._threads, self._feeds.copy)
-        self._threads.for_ever(self._quarantines.keep_once, 'quarantines')
-        self._threads.for_ever(self._planner.run_once, 'planner')
+        self._threads.repeat_forever(self._quarantines.run_round, 'quarantines')
+        self._threads.repeat_forever(self._planner.run_once, 'planner')
         self._threads.accept(
             _listen(setup.readiness),
             self._serve_readiness,
@@ -194,7 +194,7 @@
         )
 
     def _has_first_state(self) -> bool:
-        return self._has_routing_state() and self._quarantines.has_read
+        return self._has_routing_state() and self._quarantines.has_restored
 
     def _has_routing_state(self) -> bool:
         return self._state.table is not None and self._state.upstreams.end > 0
@@ -205,7 +205,7 @@
     def _serve_readiness(self, sock: socket.socket) -> None:
         connection = self._connection(sock)
         while not isinstance(
-            connection.read_request(), BadRequest | CallerGone
+            connection.read_request(), BadRequest | ConnectionEnded
         ):
             if self._is_ready():
                 status = HTTPStatus.OK
--- a/linnetwind/gateway_feeds.py
+++ b/linnetwind/gateway_feeds.py
@@ -13,16 +13,16 @@
     UpstreamsChanged,
 )
 from linnetwind.gateway_state import GatewayState
-from linnetwind.record_follower import News, PeerCopies, RecordFollower
+from linnetwind.record_follower import TopicUpdate, PeerRecords, RecordFollower
 from linnetwind.record_store import KeyedRecord, Records, RecordStore, Topic
 from linnetwind.routes import RouteTable
-from linnetwind.step_log import StepLog
-from linnetwind.store_pace import (
-    StorePace,
-    configuration_pace,
-    upstreams_pace,
+from linnetwind.event_log import EventLog
+from linnetwind.store_rate_limit import (
+    StoreRateLimit,
+    configuration_rate_limit,
+    upstreams_rate_limit,
 )
-from linnetwind.upstream_list import Registered, UpstreamList
+from linnetwind.upstream_list import UpstreamRecord, UpstreamList
 
 # How often a daemon checks whether a peer has a newer configuration. It fetches
 # one from a peer if the store has not delivered it by the next check.
@@ -40,7 +40,7 @@
     open_store: Callable[[], RecordStore]
     configuration_key: str
     decode_table: Callable[[bytes], RouteTable | BadFormat]
-    decode_upstream: Callable[[KeyedRecord], Registered | BadFormat]
+    decode_upstream: Callable[[KeyedRecord], UpstreamRecord | BadFormat]
 
 
 class GatewayFeeds:
@@ -50,9 +50,9 @@
         self,
         ports: FeedPorts,
         state: GatewayState,
-        peers: PeerCopies,
+        peers: PeerRecords,
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
     ) -> None:
         """Start with nothing read.
 
@@ -84,8 +84,12 @@
                 log,
             )
             for topic, apply, pace in (
-                (Topic.CONFIGURATION, self._apply_tables, configuration_pace),
-                (Topic.UPSTREAMS, self._apply_upstreams, upstreams_pace),
+                (
+                    Topic.CONFIGURATION,
+                    self._apply_tables,
+                    configuration_rate_limit,
+                ),
+                (Topic.UPSTREAMS, self._apply_upstreams, upstreams_rate_limit),
             )
         }
 
@@ -96,8 +100,8 @@
           threads: Starts threads.
         """
         for topic, follower in self._followers.items():
-            threads.for_ever(follower.follow_once, f'store-{topic.value}')
-        threads.for_ever(
+            threads.repeat_forever(follower.poll_once, f'store-{topic.value}')
+        threads.repeat_forever(
             self._fetch_newer_configuration, 'configuration-behind'
         )
 
@@ -123,9 +127,9 @@
         return replace(copied, records=(self._in_force,))
 
     def _pace_for_fleet(
-        self, pace: Callable[[int], StorePace]
-    ) -> Callable[[], StorePace]:
-        def pace_for_fleet() -> StorePace:  # noqa: WPS430
+        self, pace: Callable[[int], StoreRateLimit]
+    ) -> Callable[[], StoreRateLimit]:
+        def pace_for_fleet() -> StoreRateLimit:  # noqa: WPS430
             live = self._state.peer_table.live(self._clock.elapsed())
             return pace(1 + len(live))
 
@@ -151,12 +155,14 @@
         if advertised == self._newer_advertised:
             fetched = self._peers.newest(Topic.CONFIGURATION)
             if isinstance(fetched, Records):
-                news = News(fetched.records, fetched.end, True, False, 'peer')
+                news = TopicUpdate(
+                    fetched.records, fetched.end, True, False, 'peer'
+                )
                 self._apply_tables(news)
         self._newer_advertised = advertised
         return _CONFIGURATION_CHECK_INTERVAL
 
-    def _apply_tables(self, news: News) -> None:
+    def _apply_tables(self, news: TopicUpdate) -> None:
         for record in news.records:
             is_configuration = record.key == self._ports.configuration_key
             if is_configuration and record.content is not None:
@@ -172,7 +178,7 @@
         if self._state.apply_table(table):
             self._in_force = record
             self._state.change_upstreams(
-                lambda known: known.name_services(table.services)
+                lambda known: known.restrict_to_services(table.services)
             )
             self._log.event(
                 ConfigurationApplied(
@@ -184,7 +190,7 @@
                 )
             )
 
-    def _apply_upstreams(self, news: News) -> None:
+    def _apply_upstreams(self, news: TopicUpdate) -> None:
         decoded = [self._decode_upstream(each) for each in news.records]
         if news.whole:
             self._discard_bad({each.instance for each in decoded})
@@ -193,7 +199,7 @@
         )
         self._log_changed_upstreams(before, news)
 
-    def _decode_upstream(self, record: KeyedRecord) -> Registered:
+    def _decode_upstream(self, record: KeyedRecord) -> UpstreamRecord:
         """Decode a record; a malformed one removes the upstream of its key.
 
         If the last valid record of the key stayed in force, daemons that have
@@ -203,7 +209,7 @@
         decoded = self._ports.decode_upstream(record)
         if isinstance(decoded, BadFormat):
             self._record_bad(Topic.UPSTREAMS, record, decoded)
-            return Registered(record.key, record.offset, None)
+            return UpstreamRecord(record.key, record.offset, None)
         self._bad[Topic.UPSTREAMS].pop(record.key, None)
         return decoded
 
@@ -230,14 +236,17 @@
         }
 
     def _merge(
-        self, known: UpstreamList, decoded: list[Registered], news: News
+        self,
+        known: UpstreamList,
+        decoded: list[UpstreamRecord],
+        news: TopicUpdate,
     ) -> UpstreamList:
         if not news.whole:
             # After a change of the era the whole list is read first.
             if news.era != known.era:
                 return known
-            return known.take(decoded, news.end)
-        return known.take_whole(
+            return known.fold_records(decoded, news.end)
+        return known.replace_all(
             decoded,
             news.end,
             outage=news.after_outage,
@@ -245,7 +254,9 @@
             era=news.era,
         )
 
-    def _log_changed_upstreams(self, before: UpstreamList, news: News) -> None:
+    def _log_changed_upstreams(
+        self, before: UpstreamList, news: TopicUpdate
+    ) -> None:
         active_before = _active_incarnations(before)
         active_now = _active_incarnations(self._state.upstreams)
         if active_before != active_now:
--- a/linnetwind/gateway_metrics.py
+++ b/linnetwind/gateway_metrics.py
@@ -29,7 +29,7 @@
     RequestEnded,
     UpstreamCrashed,
 )
-from linnetwind.step_log import LinesDropped
+from linnetwind.event_log import LinesDropped
 
 # Histogram buckets in seconds; the targets for the first event of a stream are
 # around half a second.
--- a/linnetwind/gateway_setup.py
+++ b/linnetwind/gateway_setup.py
@@ -9,7 +9,7 @@
 from linnetwind.call_types import Dialect
 from linnetwind.gateway_feeds import FeedPorts
 from linnetwind.rank_types import RankPort
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.upstream_list import Upstream
 
 
@@ -31,7 +31,7 @@
     mesh: Address
     seeds: tuple[Address, ...]
     stop_within: timedelta
-    repeats: BudgetTerms
+    retry_terms: RetryBudgetTerms
     power: int = 0
 
 
--- a/linnetwind/gateway_state.py
+++ b/linnetwind/gateway_state.py
@@ -11,25 +11,25 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import Clock
-from linnetwind.group_room import UNNAMED, GroupCount
-from linnetwind.lives import Life
-from linnetwind.peer_book import PeerBook, PeerState
-from linnetwind.repeat_budget import BudgetTerms
-from linnetwind.request_books import RequestBooks, make_books
+from linnetwind.group_capacity import UNNAMED_GROUP, GroupCount
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.peer_table import PeerTable, PeerState
+from linnetwind.shared_retry_budget import RetryBudgetTerms
+from linnetwind.request_history import RequestHistory, make_request_history
 from linnetwind.routes import RoutedService, RouteTable
-from linnetwind.stream_counts import StreamCounts
-from linnetwind.stream_gate import GroupView
-from linnetwind.stream_room import StreamRoom
+from linnetwind.request_counts import RequestCounts
+from linnetwind.admission_policy import CapacityView
+from linnetwind.stream_admission_control import StreamAdmission
 from linnetwind.upstream_backoff import UpstreamBackoffs
 from linnetwind.upstream_choice import (
-    Record,
+    UpstreamStats,
     choose_group,
     choose_plain,
     choose_rank,
-    note_answer,
-    note_miss,
+    record_answer,
+    record_connect_failure,
 )
-from linnetwind.upstream_limits import Turn
+from linnetwind.upstream_limits import Reservation
 from linnetwind.upstream_list import Upstream, UpstreamList
 
 # How often the table of peers is checked for peers to expire.
@@ -43,7 +43,9 @@
 class GatewayState:
     """The shared state; every method may be called from any thread."""
 
-    def __init__(self, clock: Clock, own: Address, terms: BudgetTerms) -> None:
+    def __init__(
+        self, clock: Clock, own: Address, terms: RetryBudgetTerms
+    ) -> None:
         """Start without configuration, upstreams and peers.
 
         Args:
@@ -55,12 +57,14 @@
         self._lock = threading.Lock()
         self._table: RouteTable | None = None
         self._upstreams = UpstreamList()
-        self._peer_table = PeerBook(own)
-        self._streams = StreamCounts()
+        self._peer_table = PeerTable(own)
+        self._streams = RequestCounts()
         self._timeouts_checked_at = timedelta()
-        self._stats: dict[Life, Record] = {}
-        self._books = make_books(terms, clock, lambda: self._peer_table)
-        self._room = StreamRoom(clock)
+        self._stats: dict[UpstreamIncarnation, UpstreamStats] = {}
+        self._books = make_request_history(
+            terms, clock, lambda: self._peer_table
+        )
+        self._room = StreamAdmission(clock)
         self._expiry_checked_at = timedelta()
         self._on_change: Callable[[], None] = _do_nothing
 
@@ -75,22 +79,22 @@
         return self._upstreams
 
     @property
-    def peer_table(self) -> PeerBook:
+    def peer_table(self) -> PeerTable:
         """Return the table of peers."""
         return self._peer_table
 
     @property
-    def room(self) -> StreamRoom:
+    def stream_admission(self) -> StreamAdmission:
         """Return the stream admission control of each group."""
         return self._room
 
     @property
-    def books(self) -> RequestBooks:
+    def request_history(self) -> RequestHistory:
         """Return the history of callers' requests, for retries and limits."""
         return self._books
 
     @property
-    def running(self) -> dict[Life, int]:
+    def running(self) -> dict[UpstreamIncarnation, int]:
         """Return this daemon's own requests in flight, by incarnation."""
         with self._lock:
             return dict(self._streams.own)
@@ -137,14 +141,14 @@
             self._upstreams = change(before)
             # Statistics are dropped with their incarnation. Otherwise an
             # upstream that crashes again and again would use up the memory.
-            living = self._upstreams.lives()
+            living = self._upstreams.incarnations()
             for life in self._stats.keys() - living:
                 self._stats.pop(life)
         self._books.limits.keep_only(living)
         self._room.wake()
         return before
 
-    def hear(self, state: PeerState) -> None:
+    def merge_advertised(self, state: PeerState) -> None:
         """Apply the state that a peer sent.
 
         Args:
@@ -152,17 +156,17 @@
         """
         now = self._clock.elapsed()
         with self._lock:
-            self._peer_table = self._peer_table.hear(state, now)
+            self._peer_table = self._peer_table.merge_advertised(state, now)
             received = self._peer_table.received[state.name].state
-            self._streams.hear(state.name, received.running)
+            self._streams.merge_advertised(state.name, received.running)
             if now - self._expiry_checked_at > _EXPIRY_CHECK_INTERVAL:
                 self._expiry_checked_at = now
                 self._peer_table = self._peer_table.expire_peers(now)
-        self._books.hear(state, 1 + len(self._peer_table.received))
+        self._books.merge_advertised(state, 1 + len(self._peer_table.received))
         for summary in state.groups:
-            self._room.take_brief(summary)
+            self._room.apply_summary(summary)
 
-    def note_pause(self, upstream: Upstream, length: timedelta) -> None:
+    def record_pause(self, upstream: Upstream, length: timedelta) -> None:
         """Record a pause between two events of a stream.
 
         Args:
@@ -173,9 +177,9 @@
         members = self._groups(upstream.service).get(group, ())
         counts = self._counts()
         running = sum(counts.get(each.life, 0) for each in members)
-        self._room.note_pause(upstream, length, running)
+        self._room.record_pause(upstream, length, running)
 
-    def group_running(self, service: str) -> int:
+    def requests_in_flight(self, service: str) -> int:
         """Return the number of requests in flight at a service.
 
         Args:
@@ -188,7 +192,9 @@
         usable = self._upstreams.usable(service, self._clock.elapsed())
         return sum(counts.get(each.life, 0) for each in usable)
 
-    def group_view(self, service: RoutedService, gap: timedelta) -> GroupView:
+    def group_view(
+        self, service: RoutedService, gap: timedelta
+    ) -> CapacityView:
         """Return the capacity and load of a service's rank groups.
 
         Args:
@@ -214,7 +220,7 @@
             peer_table.min_send_interval,
         )
 
-    def take_upstream(
+    def acquire_upstream(
         self, service: RoutedService, tried: frozenset[str]
     ) -> Upstream | None:
         """Choose an upstream for a request and count the request there.
@@ -225,9 +231,11 @@
 
         Returns:
           The upstream, or None if none accepts a request at once. The caller
-          ends the count with `give_back`.
+          ends the count with `release_upstream`.
         """
-        usable = self._books.limits.free(self.candidates(service, tried))
+        usable = self._books.limits.within_limit(
+            self.candidates(service, tried)
+        )
         counts = self._counts()
         slow = self._room.slow(service.name)
         with self._lock:
@@ -237,17 +245,17 @@
             else:
                 chosen = choose_rank(usable, counts, slow)
             if chosen is not None:
-                self._books.limits.take(chosen)
+                self._books.limits.count_sent(chosen)
                 self._streams.begin(chosen.life)
         self._on_change()
         return chosen
 
-    def take_turn(
+    def acquire_reservation(
         self,
         service: RoutedService,
         tried: frozenset[str],
         longest: timedelta,
-    ) -> Turn | None:
+    ) -> Reservation | None:
         """Reserve a request at an upstream with a rate limit and count it.
 
         Args:
@@ -257,7 +265,7 @@
 
         Returns:
           The upstream and the time to wait, or None if no upstream accepts the
-          request in time. The caller ends the count with `give_back`.
+          request in time. The caller ends the count with `release_upstream`.
         """
         usable = self.candidates(service, tried)
         with self._lock:
@@ -285,7 +293,7 @@
           chosen for a stream.
         """
         groups = self._groups(service.name)
-        name = UNNAMED
+        name = UNNAMED_GROUP
         if service.engine is not None:
             counts = _count_by_group(
                 groups,
@@ -298,23 +306,23 @@
                 for name, members in groups.items()
                 if any(each.instance in tried for each in members)
             )
-            places = self._room.places(service.name, counts)
-            name = choose_group(places, failed, random.random())
-        members = self._books.backoffs.free(groups.get(name, []))
+            free_permits = self._room.free_permits(service.name, counts)
+            name = choose_group(free_permits, failed, random.random())
+        members = self._books.backoffs.without_backoff(groups.get(name, []))
         return [each for each in members if each.instance not in tried]
 
-    def give_back(self, upstream: Upstream) -> None:
+    def release_upstream(self, upstream: Upstream) -> None:
         """Release an upstream: end the count of a request there.
 
         Args:
-          upstream: The upstream, from `take_upstream` or `take_turn`.
+          upstream: The upstream, from `acquire_upstream` or `acquire_reservation`.
         """
         with self._lock:
             self._streams.end(upstream.life)
         self._on_change()
-        self._room.note_end(upstream)
+        self._room.record_end(upstream)
 
-    def note_answer(
+    def record_answer(
         self, upstream: Upstream, took: timedelta, *, failed: bool
     ) -> None:
         """Record the duration and outcome of an upstream's response.
@@ -326,12 +334,12 @@
         """
         now = self._clock.elapsed()
         with self._lock:
-            stats = self._stats.get(upstream.life, Record(now))
-            self._stats[upstream.life] = note_answer(
+            stats = self._stats.get(upstream.life, UpstreamStats(now))
+            self._stats[upstream.life] = record_answer(
                 stats, now, took, failed=failed
             )
 
-    def note_miss(self, upstream: Upstream) -> None:
+    def record_connect_failure(self, upstream: Upstream) -> None:
         """Record that a connection to an upstream failed.
 
         Args:
@@ -339,10 +347,10 @@
         """
         now = self._clock.elapsed()
         with self._lock:
-            stats = self._stats.get(upstream.life, Record(now))
-            self._stats[upstream.life] = note_miss(stats, now)
+            stats = self._stats.get(upstream.life, UpstreamStats(now))
+            self._stats[upstream.life] = record_connect_failure(stats, now)
 
-    def _counts(self) -> Mapping[Life, int]:
+    def _counts(self) -> Mapping[UpstreamIncarnation, int]:
         """Return the requests in flight of all daemons that are not timed out.
 
         Counts of peers that have timed out are dropped first, not more often
@@ -354,22 +362,22 @@
                 self._timeouts_checked_at = now
                 live = {each.name for each in self._peer_table.live(now)}
                 for timed_out in self._streams.peers - live:
-                    self._streams.drop(timed_out)
+                    self._streams.drop_peer(timed_out)
         return self._streams.totals
 
 
 def _count_by_group(
     groups: Mapping[str, list[Upstream]],
-    running: Mapping[Life, int],
-    own: Mapping[Life, int],
+    running: Mapping[UpstreamIncarnation, int],
+    own: Mapping[UpstreamIncarnation, int],
     backoffs: UpstreamBackoffs,
 ) -> dict[str, GroupCount]:
     return {
         name: GroupCount(
             sum(running.get(each.life, 0) for each in members),
             sum(own.get(each.life, 0) for each in members),
-            len(backoffs.free(members)),
-            backoffs.left_for_all(members),
+            len(backoffs.without_backoff(members)),
+            backoffs.remaining_for_all(members),
         )
         for name, members in groups.items()
     }
--- a/linnetwind/gateway_state_test.py
+++ b/linnetwind/gateway_state_test.py
@@ -7,10 +7,10 @@
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock, SystemClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.peer_book import GroupBrief
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.peer_table import GroupSummary
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
-from linnetwind.upstream_list import Registered
+from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import (
     MS,
     SECOND,
@@ -25,13 +25,15 @@
 
 @pytest.fixture(name='state')
 def _state():
-    terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+    terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
     return GatewayState(SystemClock(), Address('127.0.0.1', 1), terms)
 
 
 def _register(state, offset, *entries):
-    records = [Registered(each.instance, offset, each) for each in entries]
-    state.change_upstreams(lambda known: known.take(records, offset + 1))
+    records = [UpstreamRecord(each.instance, offset, each) for each in entries]
+    state.change_upstreams(
+        lambda known: known.fold_records(records, offset + 1)
+    )
 
 
 def _start(state, born_ms, service='plain'):
@@ -49,14 +51,16 @@
     # Six requests are in flight at an upstream that crashes and restarts, and
     # they end one by one. Counted for the new incarnation, they took all slots.
     _start(state, 5)
-    acquired = [state.take_upstream(PLAIN, frozenset()) for _call in range(6)]
+    acquired = [
+        state.acquire_upstream(PLAIN, frozenset()) for _call in range(6)
+    ]
     _start(state, 9)
-    assert state.group_running('plain') == 0
-    now = state.take_upstream(PLAIN, frozenset())
+    assert state.requests_in_flight('plain') == 0
+    now = state.acquire_upstream(PLAIN, frozenset())
     for each in acquired:
-        state.give_back(each)
-    assert state.group_running('plain') == 1
-    state.give_back(now)
+        state.release_upstream(each)
+    assert state.requests_in_flight('plain') == 1
+    state.release_upstream(now)
     assert state.running == {}
 
 
@@ -64,10 +68,10 @@
     # The peer has an older list of upstreams, and its counts are for the
     # incarnation that has ended.
     before = _start(state, 5)
-    state.hear(_peer({before.life: 4}))
-    assert state.group_running('plain') == 4
+    state.merge_advertised(_peer({before.life: 4}))
+    assert state.requests_in_flight('plain') == 4
     _start(state, 9)
-    assert state.group_running('plain') == 0
+    assert state.requests_in_flight('plain') == 0
 
 
 def test_failures_of_the_previous_incarnation_do_not_bar_the_next(state):
@@ -80,32 +84,34 @@
         for each in state.upstreams.usable('plain', SECOND)
         if each.instance == 'b'
     )
-    state.note_miss(before)
-    state.note_answer(before, 900 * MS, failed=True)
-    state.note_answer(busy, 90 * MS, failed=False)
-    state.take_upstream(PLAIN, frozenset({'a'}))
+    state.record_connect_failure(before)
+    state.record_answer(before, 900 * MS, failed=True)
+    state.record_answer(busy, 90 * MS, failed=False)
+    state.acquire_upstream(PLAIN, frozenset({'a'}))
     restarted = _start(state, 9)
     # A late failure of the previous incarnation.
-    state.note_miss(before)
-    assert state.take_upstream(PLAIN, frozenset()) == restarted
+    state.record_connect_failure(before)
+    assert state.acquire_upstream(PLAIN, frozenset()) == restarted
 
 
 def _summary(group, *members, slow=()):
-    return GroupBrief('model', group, 1, True, 2.0, 0, members, slow)
+    return GroupSummary('model', group, 1, True, 2.0, 0, members, slow)
 
 
 def test_a_slow_rank_that_restarts_does_not_count_as_slow(state):
     before = _start(state, 5, 'model')
     _register(state, 6, make_upstream('b', 81, 'model', slots=1))
     slow = (before.life,)
-    state.hear(_peer({}, _summary('g', before.life, 'b', slow=slow)))
-    first = [state.take_upstream(MODEL, frozenset()) for _call in range(3)]
+    state.merge_advertised(
+        _peer({}, _summary('g', before.life, 'b', slow=slow))
+    )
+    first = [state.acquire_upstream(MODEL, frozenset()) for _call in range(3)]
     assert {each.instance for each in first} == {'b'}
     restarted = _start(state, 9, 'model')
-    state.hear(
+    state.merge_advertised(
         _peer({}, _summary('g', restarted.life, 'b', slow=slow), counter=2)
     )
-    assert state.take_upstream(MODEL, frozenset()) == restarted
+    assert state.acquire_upstream(MODEL, frozenset()) == restarted
 
 
 def test_a_rank_without_a_group_gets_no_streams(state):
@@ -114,12 +120,13 @@
     known = _start(state, 5, 'model')
     _register(state, 6, make_upstream('b', 81, 'model'))
     without_groups = {
-        state.take_upstream(MODEL, frozenset()).instance for _call in range(40)
+        state.acquire_upstream(MODEL, frozenset()).instance
+        for _call in range(40)
     }
     assert without_groups == {known.instance, 'b'}
-    state.hear(_peer({}, _summary('g', known.life)))
+    state.merge_advertised(_peer({}, _summary('g', known.life)))
     for _call in range(4):
-        assert state.take_upstream(MODEL, frozenset()) == known
+        assert state.acquire_upstream(MODEL, frozenset()) == known
 
 
 def test_a_stream_that_its_group_interrupted_resumes_in_another(state):
@@ -130,16 +137,18 @@
         _register(
             state, number, make_upstream(f'r{number}', 80 + number, 'model')
         )
-    state.hear(_peer({}, _summary('a', 'r0', 'r1'), _summary('b', 'r2', 'r3')))
+    state.merge_advertised(
+        _peer({}, _summary('a', 'r0', 'r1'), _summary('b', 'r2', 'r3'))
+    )
     for _call in range(20):
-        acquired = state.take_upstream(MODEL, frozenset({'r0'}))
+        acquired = state.acquire_upstream(MODEL, frozenset({'r0'}))
         assert acquired.instance in {'r2', 'r3'}
 
 
 def test_statistics_of_ended_incarnations_are_dropped(state):
     # An upstream that crashes every few seconds must not use up the memory.
     for born_ms in range(50):
-        state.note_miss(_start(state, born_ms))
+        state.record_connect_failure(_start(state, born_ms))
     _start(state, 50)
     assert len(state._stats) <= 1
 
@@ -148,13 +157,13 @@
     # A host is cut off while its streams run. Counted for ever, they would
     # occupy slots that others could use.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+    terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
     entry = _start(state, 5)
     clock.advance(SECOND)
-    state.hear(_peer({entry.life: 4}))
-    assert state.group_running('plain') == 4
+    state.merge_advertised(_peer({entry.life: 4}))
+    assert state.requests_in_flight('plain') == 4
     clock.advance(state.peer_table.peer_timeout)
-    assert state.group_running('plain') == 0
-    state.hear(_peer({entry.life: 2}, counter=2))
-    assert state.group_running('plain') == 2
+    assert state.requests_in_flight('plain') == 0
+    state.merge_advertised(_peer({entry.life: 2}, counter=2))
+    assert state.requests_in_flight('plain') == 2
--- a/linnetwind/gateway_stop.py
+++ b/linnetwind/gateway_stop.py
@@ -6,10 +6,10 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.peer_book import PeerBook
-from linnetwind.stop_turns import (
+from linnetwind.peer_table import PeerTable
+from linnetwind.drain_order import (
     Fleet,
-    Host,
+    FleetDaemon,
     StopTime,
     is_awaited,
     keeps_serving,
@@ -103,7 +103,7 @@
 
 
 def stop_phase(
-    plan: StopPlan, now: timedelta, own: Host, fleet: Fleet
+    plan: StopPlan, now: timedelta, own: FleetDaemon, fleet: Fleet
 ) -> StopPhase:
     """Return the current phase of a stopping daemon.
 
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class EndEstimate:
     """The monotonic times at which a request ends.
 
     `latest` is given by its time limit, `expected` by the durations of earlier
@@ -135,8 +135,8 @@
     expected: timedelta
 
 
-def may_begin(
-    plan: StopPlan, now: timedelta, ending: Ending, phase: StopPhase
+def may_start(
+    plan: StopPlan, now: timedelta, ending: EndEstimate, phase: StopPhase
 ) -> bool:
     """Decide whether a stopping daemon accepts a request.
 
@@ -169,7 +169,7 @@
 
 
 def retry_after(
-    plan: StopPlan, now: timedelta, own: Host, fleet: Fleet
+    plan: StopPlan, now: timedelta, own: FleetDaemon, fleet: Fleet
 ) -> timedelta:
     """Return the delay after which a rejected caller should retry.
 
@@ -213,8 +213,8 @@
 def make_stop(
     clock: Clock,
     stop_within: timedelta,
-    own: Host,
-    peer_table: Callable[[], PeerBook],
+    own: FleetDaemon,
+    peer_table: Callable[[], PeerTable],
 ) -> 'GatewayStop':
     """Return the graceful shutdown of a daemon that has peers.
 
@@ -239,7 +239,7 @@
         self,
         clock: Clock,
         stop_within: timedelta,
-        own: Host,
+        own: FleetDaemon,
         fleet: Callable[[timedelta], Fleet],
     ) -> None:
         """Start as a process that has received no stop signal.
@@ -261,7 +261,7 @@
         """Start the shutdown: the process has received a stop signal."""
         self._plan = plan_stop(self._clock.elapsed(), self._stop_within)
 
-    def is_begun(self) -> bool:
+    def is_stopping(self) -> bool:
         """Return whether the process has received a stop signal."""
         return self._plan is not None
 
@@ -314,7 +314,7 @@
         """
         self._is_ending = True
 
-    def may_begin(self, ending: Ending) -> bool:
+    def may_start(self, ending: EndEstimate) -> bool:
         """Return whether a request may be accepted now.
 
         Args:
@@ -329,9 +329,9 @@
         if self._is_ending:
             return False
         now = self._clock.elapsed()
-        return may_begin(plan, now, ending, self._phase(plan, now))
+        return may_start(plan, now, ending, self._phase(plan, now))
 
-    def has_time(self, ending: Ending) -> bool:
+    def has_time(self, ending: EndEstimate) -> bool:
         """Return whether a queued request should stay in the wait queue.
 
         Args:
@@ -357,7 +357,7 @@
     def _phase(self, plan: StopPlan, now: timedelta) -> StopPhase:
         return stop_phase(plan, now, self._own(plan), self._fleet(now))
 
-    def _own(self, plan: StopPlan) -> Host:
+    def _own(self, plan: StopPlan) -> FleetDaemon:
         return replace(
             self._host,
             stop_time=StopTime(self._host.name, plan.stop_started_at),
--- a/linnetwind/gateway_stop_test.py
+++ b/linnetwind/gateway_stop_test.py
@@ -13,21 +13,21 @@
     NOTICE_PERIOD,
     READY_PERIOD,
     REMOVAL_DELAY,
-    Ending,
+    EndEstimate,
     GatewayStop,
     StopPhase,
     StopPlan,
-    may_begin,
+    may_start,
     plan_stop,
     retry_after,
     stop_phase,
 )
-from linnetwind.stop_turns import RESTART_DELAY, Fleet, Host, StopTime
+from linnetwind.drain_order import RESTART_DELAY, Fleet, FleetDaemon, StopTime
 
 GRACE = timedelta(seconds=8)
 MOMENT = timedelta(milliseconds=1)
 LONG = timedelta(seconds=60)
-ENDLESS = Ending(LONG, LONG)
+ENDLESS = EndEstimate(LONG, LONG)
 ALONE = Fleet((), 1)
 START = timedelta(seconds=100)
 STEP = timedelta(milliseconds=50)
@@ -42,7 +42,7 @@
     stop_time = (
         None if stopped_at is None else StopTime(name, _seconds(stopped_at))
     )
-    return Host(name, site, stop_time)
+    return FleetDaemon(name, site, stop_time)
 
 
 def test_what_ends_before_the_last_sixth_of_the_grace_is_not_cut():
@@ -60,13 +60,13 @@
     # were cut.
     plan = plan_stop(timedelta(), _seconds(grace))
     assert plan.closes_at < plan.ends_at < plan.cuts_at
-    late = Ending(LONG, plan.ends_at + MOMENT)
-    assert not may_begin(plan, plan.closes_at, late, phase)
+    late = EndEstimate(LONG, plan.ends_at + MOMENT)
+    assert not may_start(plan, plan.closes_at, late, phase)
 
 
 def test_callers_are_served_during_the_notice_period():
     plan = plan_stop(timedelta(), GRACE)
-    assert may_begin(plan, NOTICE_PERIOD - MOMENT, ENDLESS, StopPhase.SERVES)
+    assert may_start(plan, NOTICE_PERIOD - MOMENT, ENDLESS, StopPhase.SERVES)
 
 
 @pytest.mark.parametrize('phase', StopPhase)
@@ -76,20 +76,20 @@
     # SIGTERM: the stream would be cut, the call cannot be.
     plan = plan_stop(timedelta(), GRACE)
     now = _seconds(3)
-    stream = Ending(now + _seconds(8), now + _seconds(8))
-    call = Ending(now + _seconds(1.5), now + _seconds(1.5))
-    assert not may_begin(plan, now, stream, phase)
-    assert may_begin(plan, now, call, phase)
+    stream = EndEstimate(now + _seconds(8), now + _seconds(8))
+    call = EndEstimate(now + _seconds(1.5), now + _seconds(1.5))
+    assert not may_start(plan, now, stream, phase)
+    assert may_start(plan, now, call, phase)
 
 
 def test_a_serving_daemon_accepts_requests_that_are_expected_to_end():
     plan = plan_stop(timedelta(), GRACE)
     now = _seconds(4)
-    short = Ending(now + LONG, now + _seconds(2))
-    long = Ending(now + LONG, now + _seconds(4))
-    assert may_begin(plan, now, short, StopPhase.SERVES)
-    assert not may_begin(plan, now, long, StopPhase.SERVES)
-    assert not may_begin(plan, now, short, StopPhase.DRAINS)
+    short = EndEstimate(now + LONG, now + _seconds(2))
+    long = EndEstimate(now + LONG, now + _seconds(4))
+    assert may_start(plan, now, short, StopPhase.SERVES)
+    assert not may_start(plan, now, long, StopPhase.SERVES)
+    assert not may_start(plan, now, short, StopPhase.DRAINS)
 
 
 def test_a_daemon_that_others_wait_for_accepts_only_short_requests():
@@ -97,25 +97,30 @@
     # for 6 s, and the daemons that waited for it had no time left to drain.
     plan = plan_stop(timedelta(), GRACE)
     now = _seconds(0.5)
-    assert may_begin(
-        plan, now, Ending(now + LONG, AWAITED_DRAIN_TIME), StopPhase.HURRIES
+    assert may_start(
+        plan,
+        now,
+        EndEstimate(now + LONG, AWAITED_DRAIN_TIME),
+        StopPhase.HURRIES,
     )
-    late = Ending(now + LONG, AWAITED_DRAIN_TIME + MOMENT)
-    assert not may_begin(plan, now, late, StopPhase.HURRIES)
+    late = EndEstimate(now + LONG, AWAITED_DRAIN_TIME + MOMENT)
+    assert not may_start(plan, now, late, StopPhase.HURRIES)
 
 
 def test_a_process_without_a_stop_signal_accepts_everything():
     stop = _stop(ManualClock(datetime.now(UTC)))
-    assert stop.may_begin(ENDLESS)
+    assert stop.may_start(ENDLESS)
     assert stop.reports_ready()
-    assert not stop.is_begun()
+    assert not stop.is_stopping()
     assert not stop.is_draining()
     assert not stop.may_end()
     assert not stop.is_over()
 
 
 def _stop(clock, fleet=ALONE):
-    return GatewayStop(clock, GRACE, Host('a', 's', None), lambda _now: fleet)
+    return GatewayStop(
+        clock, GRACE, FleetDaemon('a', 's', None), lambda _now: fleet
+    )
 
 
 def test_a_shutdown_drains_after_the_notice_period_and_then_ends():
@@ -127,7 +132,7 @@
     for _second in range(9):
         seen.append((stop.is_draining(), stop.is_over()))
         clock.advance(timedelta(seconds=1))
-    assert stop.is_begun()
+    assert stop.is_stopping()
     assert seen == [(False, False)] * 3 + [(True, False)] * 5 + [(True, True)]
 
 
@@ -221,7 +226,7 @@
             if self.plan is None
             else StopTime(self.name, self.plan.stop_started_at)
         )
-        return Host(self.name, self.name, stop_time)
+        return FleetDaemon(self.name, self.name, stop_time)
 
     def is_reachable(self, now):
         return not self.has_ended and now >= self.restarts_at + (
@@ -234,8 +239,8 @@
             return False
         if self.plan is not None:
             phase = stop_phase(self.plan, now, self.host(), fleet)
-            ending = Ending(now + LONG, now + duration)
-            if not may_begin(self.plan, now, ending, phase):
+            ending = EndEstimate(now + LONG, now + duration)
+            if not may_start(self.plan, now, ending, phase):
                 return False
         self.ends.append(now + duration)
         return True
@@ -325,7 +330,7 @@
     assert stop.has_time(ENDLESS)
     clock.advance(NOTICE_PERIOD)
     assert not stop.has_time(ENDLESS)
-    assert stop.has_time(Ending(LONG, GRACE * COMPLETION_FRACTION))
+    assert stop.has_time(EndEstimate(LONG, GRACE * COMPLETION_FRACTION))
 
 
 def test_a_process_that_ends_accepts_nothing():
@@ -333,7 +338,7 @@
     stop = _stop(clock)
     stop.begin()
     clock.advance(NOTICE_PERIOD)
-    short = Ending(clock.elapsed() + MOMENT, clock.elapsed() + MOMENT)
-    assert stop.may_begin(short)
+    short = EndEstimate(clock.elapsed() + MOMENT, clock.elapsed() + MOMENT)
+    assert stop.may_start(short)
     stop.end()
-    assert not stop.may_begin(short)
+    assert not stop.may_start(short)
--- a/linnetwind/group_room.py
+++ b/linnetwind/group_capacity.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from linnetwind.group_breaks import (
+from linnetwind.group_outages import (
     GroupHealth,
-    GroupWord,
-    expected_opening,
-    take_word,
+    GroupAnnouncement,
+    time_until_open,
+    apply_announcement,
 )
-from linnetwind.pass_meter import (
-    USUAL_SKEW,
+from linnetwind.pass_time_estimator import (
+    DEFAULT_SKEW,
     PassTimeEstimator,
     stream_limit,
 )
-from linnetwind.peer_book import GroupBrief
-from linnetwind.place_shares import Allowance
-from linnetwind.routes import EngineFigures
+from linnetwind.peer_table import GroupSummary
+from linnetwind.permit_shares import Allowance
+from linnetwind.routes import EngineProfile
 
 # The period in which arrivals and ends of streams count for their rates.
 RATE_WINDOW = timedelta(seconds=1)
@@ -27,7 +27,7 @@
 # A group is removed if no planner has sent a summary of it for this long.
 GROUP_EXPIRY = timedelta(seconds=10)
 # The group of all ranks while no planner has announced the groups.
-UNNAMED = ''
+UNNAMED_GROUP = ''
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,14 +60,14 @@
     estimator: PassTimeEstimator = field(default_factory=PassTimeEstimator)
     ends: deque[timedelta] = field(default_factory=deque)
     allowance: Allowance = Allowance(timedelta(), 0)
-    use: float = 1
+    utilization: float = 1
     health: GroupHealth = GroupHealth()
-    summary: GroupBrief | None = None
+    summary: GroupSummary | None = None
     summary_at: timedelta = timedelta()
 
 
-def take_brief(
-    group: GroupCapacity, summary: GroupBrief, now: timedelta
+def apply_summary(
+    group: GroupCapacity, summary: GroupSummary, now: timedelta
 ) -> None:
     """Apply the planner's summary of a group.
 
@@ -78,11 +78,11 @@
     """
     group.summary = summary
     group.summary_at = now
-    announcement = GroupWord(now, summary.epoch, summary.is_open)
-    group.health = take_word(group.health, announcement)
+    announcement = GroupAnnouncement(now, summary.epoch, summary.is_open)
+    group.health = apply_announcement(group.health, announcement)
 
 
-def recent_summary(group: GroupCapacity, now: timedelta) -> GroupBrief | None:
+def recent_summary(group: GroupCapacity, now: timedelta) -> GroupSummary | None:
     """Return the planner's summary, unless it is too old to be used.
 
     Args:
@@ -110,7 +110,7 @@
     if summary is not None and not summary.is_open:
         announced = timedelta(milliseconds=summary.opens_in_ms)
         planned = announced - (now - group.summary_at)
-    return expected_opening(group.health, planned, now)
+    return time_until_open(group.health, planned, now)
 
 
 def unavailable_for(
@@ -136,7 +136,7 @@
 def group_stream_limit(
     group: GroupCapacity,
     now: timedelta,
-    engine: EngineFigures,
+    engine: EngineProfile,
     gap: timedelta,
     ranks: int,
     peer_estimates: Sequence[tuple[float, int]],
@@ -156,13 +156,13 @@
       The number of streams.
     """
     summary = recent_summary(group, now)
-    skew = summary.skew if summary else USUAL_SKEW
+    skew = summary.skew if summary else DEFAULT_SKEW
     estimates = [*peer_estimates, estimate_part(group, now, engine)]
     return stream_limit(engine, ranks, gap, estimates, skew)
 
 
 def estimate_part(
-    group: GroupCapacity, now: timedelta, engine: EngineFigures
+    group: GroupCapacity, now: timedelta, engine: EngineProfile
 ) -> tuple[float, int]:
     """Return what each stream adds to a pass, by the pauses at this daemon.
 
--- a/linnetwind/group_log.py
+++ b/linnetwind/group_log.py
@@ -1,7 +1,7 @@
 """A group's log stream: which side daemon coordinates, and the target map.
 
 The epoch is one more than the offset of the accepted record of type
-`Coordinate`. It therefore grows with each change of the
+`CoordinatorTakeover`. It therefore grows with each change of the
 coordinator, and no two coordinators share one. The log is needed to become
 coordinator and to publish a map, but never to complete a switch.
 """
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Coordinate:
+class CoordinatorTakeover:
     """The side daemon `holder` takes over the coordinator's role.
 
     It has seen no activity of the coordinator with the epoch
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class CoordinatorRenewal:
     """The coordinator renews its role before the older records expire."""
 
     holder: str
     epoch: int
 
 
-GROUP_CODEC = Codec((Coordinate, Target, Held))
+GROUP_CODEC = Codec((CoordinatorTakeover, Target, CoordinatorRenewal))
 
 
 @dataclass(frozen=True)
@@ -82,9 +82,13 @@
             # accepted. A record with a lower epoch is ignored: it comes from
             # a coordinator that was replaced, or from the second of two side
             # daemons that took over at the same time.
-            case Coordinate(holder, previous) if previous >= role.epoch:
+            case CoordinatorTakeover(holder, previous) if (
+                previous >= role.epoch
+            ):
                 role = replace(role, holder=holder, epoch=epoch)
-            case Held(holder, held_epoch) if held_epoch >= role.epoch:
+            case CoordinatorRenewal(holder, held_epoch) if (
+                held_epoch >= role.epoch
+            ):
                 role = replace(role, holder=holder, epoch=held_epoch)
             case Target(epoch=target_epoch) if target_epoch >= role.epoch:
                 role = replace(role, target=record)
--- a/linnetwind/group_log_test.py
+++ b/linnetwind/group_log_test.py
@@ -9,16 +9,20 @@
 from linnetwind.config import Group
 from linnetwind.group_log import (
     GROUP_CODEC,
-    Coordinate,
+    CoordinatorTakeover,
     GroupRole,
-    Held,
+    CoordinatorRenewal,
     Target,
     fold_role,
     pack_map,
     stream_of_group,
     unpack_map,
 )
-from linnetwind.group_planner import RENEW_INTERVAL, SILENCE, GroupPlanner
+from linnetwind.group_planner import (
+    RENEW_INTERVAL,
+    COORDINATOR_TIMEOUT,
+    GroupPlanner,
+)
 from linnetwind.log_port import Entry
 from linnetwind.mapswitch_types import Prepare, RankStatus
 from linnetwind.placement import even_map
@@ -37,13 +41,13 @@
 
 
 def test_first_of_two_concurrent_takeovers_wins():
-    role = folded(Coordinate('a', 0), Coordinate('b', 0))
+    role = folded(CoordinatorTakeover('a', 0), CoordinatorTakeover('b', 0))
     assert (role.holder, role.epoch) == ('a', 1)
 
 
 def test_target_of_a_replaced_coordinator_is_ignored():
     old = Target(1, 'old', b'')
-    role = folded(Coordinate('a', 0), Coordinate('b', 1), old)
+    role = folded(CoordinatorTakeover('a', 0), CoordinatorTakeover('b', 1), old)
     assert role.target is None
 
 
@@ -51,8 +55,12 @@
     # The record of the first takeover has expired, and the coordinator has
     # renewed its role and its target. Then another side daemon takes over.
     target = Target(8, 'map', b'')
-    recent_records = (Held('a', 8), target, Coordinate('b', 8))
-    live_reader = folded(Coordinate('a', 0), first=7)
+    recent_records = (
+        CoordinatorRenewal('a', 8),
+        target,
+        CoordinatorTakeover('b', 8),
+    )
+    live_reader = folded(CoordinatorTakeover('a', 0), first=7)
     assert live_reader.epoch == 8
     live_reader = folded(*recent_records, first=8, role=live_reader)
     late_reader = folded(*recent_records, first=8)
@@ -61,7 +69,11 @@
 
 
 def test_renewal_by_a_replaced_coordinator_is_ignored():
-    role = folded(Coordinate('a', 0), Coordinate('b', 1), Held('a', 1))
+    role = folded(
+        CoordinatorTakeover('a', 0),
+        CoordinatorTakeover('b', 1),
+        CoordinatorRenewal('a', 1),
+    )
     assert role.holder == 'b'
 
 
@@ -95,7 +107,7 @@
     log.expire(STREAM, end)
     second = planner(log, clock, 1)
     second.tick(running, no_counts)
-    clock.advance(SILENCE * 2)
+    clock.advance(COORDINATOR_TIMEOUT * 2)
     second.tick(RankStatus(1), no_counts)
     sends = second.tick(RankStatus(1), no_counts)
     assert {send.note.map_id for send in sends} == {target_id}
@@ -109,6 +121,6 @@
     sends = first.tick(RankStatus(1), no_counts)
     second.tick(RankStatus(1), no_counts)
     for _second in range(20):
-        clock.advance(SILENCE / 2)
-        second.saw_coordinator(sends[0].note)
+        clock.advance(COORDINATOR_TIMEOUT / 2)
+        second.record_coordinator(sends[0].note)
         assert second.tick(RankStatus(1), no_counts) == ()
--- a/linnetwind/group_looks.py
+++ b/linnetwind/group_observations.py
@@ -8,9 +8,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from linnetwind.lives import Life, name_life
-from linnetwind.rank_messages import Seen
-from linnetwind.rank_types import CountLanes, RankMaps, RankReport
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    name_incarnation,
+)
+from linnetwind.rank_messages import RankSnapshot
+from linnetwind.rank_types import LaneCounts, RankMaps, RankReport
 from linnetwind.upstream_list import Upstream
 
 
@@ -24,9 +27,9 @@
     """
 
     upstream: Upstream
-    life: Life
+    life: UpstreamIncarnation
     report: RankReport
-    snapshot: Seen
+    snapshot: RankSnapshot
 
 
 def newest_by_address(entries: Iterable[Upstream]) -> list[Upstream]:
@@ -47,7 +50,9 @@
     return list(newest.values())
 
 
-def index_by_rank(replies: Mapping[Upstream, Seen]) -> dict[int, ObservedRank]:
+def index_by_rank(
+    replies: Mapping[Upstream, RankSnapshot],
+) -> dict[int, ObservedRank]:
     """Index the replies of one group's ranks by rank.
 
     After a restart two entries may lead to the same rank. The entry of the
@@ -73,8 +78,8 @@
     return {each.report.rank: each for each in observed}
 
 
-def sort_by_group(
-    replies: Mapping[Upstream, Seen],
+def index_by_group(
+    replies: Mapping[Upstream, RankSnapshot],
 ) -> dict[str, dict[int, ObservedRank]]:
     """Index the replies of a service's ranks by group and rank.
 
@@ -88,7 +93,7 @@
     Returns:
       The ranks that have replied, by the name of their group and by rank.
     """
-    by_group: dict[str, dict[Upstream, Seen]] = {}
+    by_group: dict[str, dict[Upstream, RankSnapshot]] = {}
     for upstream, snapshot in replies.items():
         if snapshot.report is not None:
             members = by_group.setdefault(snapshot.report.group, {})
@@ -96,7 +101,7 @@
     return {name: index_by_rank(members) for name, members in by_group.items()}
 
 
-def counts_of(ranks: Mapping[int, ObservedRank]) -> dict[int, CountLanes]:
+def counts_of(ranks: Mapping[int, ObservedRank]) -> dict[int, LaneCounts]:
     """Return the counts of the ranks that have reported them.
 
     Args:
@@ -134,7 +139,7 @@
     return tuple(zip(*by_rank, strict=True))
 
 
-def _observe_rank(upstream: Upstream, snapshot: Seen) -> ObservedRank:
+def _observe_rank(upstream: Upstream, snapshot: RankSnapshot) -> ObservedRank:
     """Drop what comes from another incarnation than the report does.
 
     The report, counts and experts of one snapshot are read by separate calls,
@@ -150,7 +155,7 @@
         experts = None
     return ObservedRank(
         upstream,
-        name_life(upstream.instance, born_ms),
+        name_incarnation(upstream.instance, born_ms),
         snapshot.report,
         replace(snapshot, counts=counts, experts=experts),
     )
--- a/linnetwind/group_looks_test.py
+++ b/linnetwind/group_observations_test.py
@@ -1,6 +1,6 @@
 """Tests of which registry entries a planner queries."""
 
-from linnetwind.group_looks import newest_by_address
+from linnetwind.group_observations import newest_by_address
 from standins.gateway_fixtures import make_upstream
 
 
--- a/linnetwind/group_breaks.py
+++ b/linnetwind/group_outages.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupWord:
+class GroupAnnouncement:
     """What the planner announced about a group.
 
     `at` is the monotonic time at which the announcement arrived.
@@ -59,7 +59,7 @@
     outage: timedelta = DEFAULT_OUTAGE
 
 
-def note_crash(health: GroupHealth, at: timedelta) -> GroupHealth:
+def record_crash(health: GroupHealth, at: timedelta) -> GroupHealth:
     """Update a group's health after the crash of one of its ranks.
 
     Args:
@@ -77,7 +77,9 @@
     return replace(health, broken_at=at, by_crash=True)
 
 
-def take_word(health: GroupHealth, announcement: GroupWord) -> GroupHealth:
+def apply_announcement(
+    health: GroupHealth, announcement: GroupAnnouncement
+) -> GroupHealth:
     """Update a group's health after an announcement of its planner.
 
     Args:
@@ -110,7 +112,7 @@
     )
 
 
-def expected_opening(
+def time_until_open(
     health: GroupHealth, planned: timedelta | None, now: timedelta
 ) -> timedelta | None:
     """Return how long it should take until a group runs streams again.
--- a/linnetwind/group_breaks_test.py
+++ b/linnetwind/group_outages_test.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from linnetwind.group_breaks import (
+from linnetwind.group_outages import (
     DEFAULT_OUTAGE,
     GroupHealth,
-    GroupWord,
-    expected_opening,
-    note_crash,
-    take_word,
+    GroupAnnouncement,
+    time_until_open,
+    record_crash,
+    apply_announcement,
 )
 
 MS = timedelta(milliseconds=1)
@@ -29,63 +29,77 @@
 
 
 def _healthy(at=timedelta(), epoch=1):
-    return take_word(GroupHealth(), GroupWord(at, epoch, is_open=True))
+    return apply_announcement(
+        GroupHealth(), GroupAnnouncement(at, epoch, is_open=True)
+    )
 
 
 def test_a_crash_closes_the_group_whatever_its_ranks_say():
     # The engines give up 1.5 s after the crash and report the group as open
     # until then. The planner's last poll is from before the crash, so its
     # announcement must not keep streams going to the group.
-    health = note_crash(_healthy(), CRASH)
-    health = take_word(health, GroupWord(CRASH + 40 * MS, 1, is_open=True))
-    opening = expected_opening(health, None, CRASH + 40 * MS)
+    health = record_crash(_healthy(), CRASH)
+    health = apply_announcement(
+        health, GroupAnnouncement(CRASH + 40 * MS, 1, is_open=True)
+    )
+    opening = time_until_open(health, None, CRASH + 40 * MS)
     assert opening == DEFAULT_OUTAGE - 40 * MS
 
 
 def test_a_group_in_a_new_epoch_is_open_at_once():
-    health = note_crash(_healthy(), CRASH)
-    health = take_word(health, GroupWord(CRASH + 100 * MS, 2, is_open=True))
-    assert expected_opening(health, None, CRASH + 100 * MS) is None
+    health = record_crash(_healthy(), CRASH)
+    health = apply_announcement(
+        health, GroupAnnouncement(CRASH + 100 * MS, 2, is_open=True)
+    )
+    assert time_until_open(health, None, CRASH + 100 * MS) is None
 
 
 def test_a_false_alarm_of_one_gateway_closes_a_healthy_group_only_briefly():
     # One gateway cannot reach a rank and takes it for crashed. The planner
     # still sees all ranks and their passes.
-    health = note_crash(_healthy(), CRASH)
+    health = record_crash(_healthy(), CRASH)
     for poll in range(1, 8):
-        announcement = GroupWord(CRASH + poll * 100 * MS, 1, is_open=True)
-        health = take_word(health, announcement)
-    assert expected_opening(health, None, CRASH + 700 * MS) is None
+        announcement = GroupAnnouncement(
+            CRASH + poll * 100 * MS, 1, is_open=True
+        )
+        health = apply_announcement(health, announcement)
+    assert time_until_open(health, None, CRASH + 700 * MS) is None
     # Peers repeat the advertisement of the crash for a while.
-    health = note_crash(health, CRASH)
-    assert expected_opening(health, None, CRASH + 800 * MS) is None
+    health = record_crash(health, CRASH)
+    assert time_until_open(health, None, CRASH + 800 * MS) is None
     assert health.outage == DEFAULT_OUTAGE
 
 
 def test_a_crash_before_the_group_opened_is_ignored():
-    health = take_word(_healthy(), GroupWord(CRASH, 1, is_open=False))
-    health = take_word(health, GroupWord(CRASH + SECOND, 2, is_open=True))
-    assert note_crash(health, CRASH) == health
+    health = apply_announcement(
+        _healthy(), GroupAnnouncement(CRASH, 1, is_open=False)
+    )
+    health = apply_announcement(
+        health, GroupAnnouncement(CRASH + SECOND, 2, is_open=True)
+    )
+    assert record_crash(health, CRASH) == health
 
 
 def test_the_estimate_of_the_planner_takes_precedence():
-    health = note_crash(_healthy(), CRASH)
-    assert expected_opening(health, 600 * MS, CRASH + SECOND) == 600 * MS
-    assert expected_opening(health, -MS, CRASH + SECOND) == timedelta()
+    health = record_crash(_healthy(), CRASH)
+    assert time_until_open(health, 600 * MS, CRASH + SECOND) == 600 * MS
+    assert time_until_open(health, -MS, CRASH + SECOND) == timedelta()
 
 
 def test_the_next_outage_is_expected_to_last_as_long():
-    health = note_crash(_healthy(), CRASH)
+    health = record_crash(_healthy(), CRASH)
     reopened = CRASH + 2 * SECOND
-    health = take_word(health, GroupWord(reopened, 2, is_open=True))
-    health = note_crash(health, reopened + SECOND)
-    assert expected_opening(health, None, reopened + SECOND) == 2 * SECOND
+    health = apply_announcement(
+        health, GroupAnnouncement(reopened, 2, is_open=True)
+    )
+    health = record_crash(health, reopened + SECOND)
+    assert time_until_open(health, None, reopened + SECOND) == 2 * SECOND
 
 
 def test_a_group_that_no_planner_announces_is_tried_again():
-    health = note_crash(GroupHealth(), CRASH)
-    assert expected_opening(health, None, CRASH + 5 * SECOND) == timedelta()
-    assert expected_opening(health, None, CRASH + 11 * SECOND) is None
+    health = record_crash(GroupHealth(), CRASH)
+    assert time_until_open(health, None, CRASH + 5 * SECOND) == timedelta()
+    assert time_until_open(health, None, CRASH + 11 * SECOND) is None
 
 
 @pytest.mark.parametrize('gateways', [13, 46, 400])
@@ -100,8 +114,8 @@
     for _gateway in range(gateways):
         received = [chance.random() >= loss for _witness in range(WITNESSES)]
         delay = 5 * MS if any(received) else 500 * MS
-        health = note_crash(_healthy(), CRASH)
-        closed = expected_opening(health, None, CRASH + delay) is not None
+        health = record_crash(_healthy(), CRASH)
+        closed = time_until_open(health, None, CRASH + delay) is not None
         delays.append(delay if closed else 1500 * MS)
     late_seconds = sum(
         max(known_after - KNOWN_WITHIN, timedelta()) / SECOND
@@ -114,7 +128,11 @@
     # After a power loss the planner sees the ranks start and then the group
     # form. The confirmation delay after a crash must not apply here, or waiting
     # callers would be held back for another half a second.
-    health = take_word(GroupHealth(), GroupWord(CRASH, 0, is_open=False))
+    health = apply_announcement(
+        GroupHealth(), GroupAnnouncement(CRASH, 0, is_open=False)
+    )
     opened = CRASH + 250 * MS
-    health = take_word(health, GroupWord(opened, 1, is_open=True))
-    assert expected_opening(health, None, opened) is None
+    health = apply_announcement(
+        health, GroupAnnouncement(opened, 1, is_open=True)
+    )
+    assert time_until_open(health, None, opened) is None
--- a/linnetwind/group_planner.py
+++ b/linnetwind/group_planner.py
@@ -14,13 +14,13 @@
 
 from linnetwind.clock import Clock
 from linnetwind.config import Group
-from linnetwind.decisions import log_decision
-from linnetwind.expert_load import LoadEstimate, take_counts
+from linnetwind.decision_log import log_decision
+from linnetwind.expert_load import LoadEstimate, update_load_estimate
 from linnetwind.group_log import (
     GROUP_CODEC,
-    Coordinate,
+    CoordinatorTakeover,
     GroupRole,
-    Held,
+    CoordinatorRenewal,
     Target,
     fold_role,
     pack_map,
@@ -28,7 +28,11 @@
     unpack_map,
 )
 from linnetwind.log_port import LogPort, read_to_end
-from linnetwind.mapcoordinator import Coordination, begin, take_prepared
+from linnetwind.mapcoordinator import (
+    Coordination,
+    request_preparation,
+    apply_prepared,
+)
 from linnetwind.mapswitch_types import (
     Attempt,
     Note,
@@ -43,7 +47,7 @@
 # A side takes the role if it has not heard of the coordinator for this long
 # plus the time per rank, so that sides of higher ranks wait longer. A group
 # that has no coordinator yet waits only the time per rank.
-SILENCE = timedelta(seconds=5)
+COORDINATOR_TIMEOUT = timedelta(seconds=5)
 TIMEOUT_PER_RANK = timedelta(seconds=1)
 HEARTBEAT_INTERVAL = timedelta(seconds=2)
 
@@ -95,7 +99,7 @@
         self._attempt_started = now
         self._last_number = 0
 
-    def take_group(self, group: Group) -> None:
+    def update_group(self, group: Group) -> None:
         """Replace the group's configuration.
 
         Args:
@@ -103,7 +107,7 @@
         """
         self._group = group
 
-    def saw_coordinator(self, note: Note) -> None:
+    def record_coordinator(self, note: Note) -> None:
         """Record that a coordinator is active.
 
         Args:
@@ -139,7 +143,7 @@
         self._next_plan = now + timedelta(seconds=interval)
         return self._plan(status, counts())
 
-    def take_prepared(self, note: Prepared) -> tuple[Send, ...]:
+    def apply_prepared(self, note: Prepared) -> tuple[Send, ...]:
         """Apply a rank's reply to the current attempt.
 
         Args:
@@ -150,7 +154,7 @@
         """
         if self._coordination is None:
             return ()
-        after, notes = take_prepared(self._coordination, note)
+        after, notes = apply_prepared(self._coordination, note)
         self._coordination = after
         return notes
 
@@ -167,13 +171,15 @@
         if self._role.holder == self._name:
             self._coordinator_seen_at = now
             return
-        timeout = SILENCE + TIMEOUT_PER_RANK * self._rank
+        timeout = COORDINATOR_TIMEOUT + TIMEOUT_PER_RANK * self._rank
         if not self._role.holder:
             timeout = TIMEOUT_PER_RANK * self._rank
         if now - self._coordinator_seen_at < timeout:
             return
         self._coordinator_seen_at = now
-        record = GROUP_CODEC.encode(Coordinate(self._name, self._role.epoch))
+        record = GROUP_CODEC.encode(
+            CoordinatorTakeover(self._name, self._role.epoch)
+        )
         self._log.append(stream_of_group(self._group.name), [record])
         self._read_role()
         log_decision(
@@ -188,7 +194,7 @@
             return
         self._next_renewal = now + RENEW_INTERVAL
         role = self._role
-        records = [Held(role.holder, role.epoch), role.target]
+        records = [CoordinatorRenewal(role.holder, role.epoch), role.target]
         frames = [GROUP_CODEC.encode(record) for record in records if record]
         self._log.append(stream_of_group(self._group.name), frames)
 
@@ -209,7 +215,7 @@
             logger.warning('attempt given up: {}', coordination.attempt)
             self._coordination = None
             return ()
-        return begin(coordination)
+        return request_preparation(coordination)
 
     def _plan(
         self, status: RankStatus, counts: list[list[float]]
@@ -230,7 +236,7 @@
             return self._start_attempt(target.map_id)
         if not counts:
             return ()
-        self._estimate = take_counts(
+        self._estimate = update_load_estimate(
             self._estimate, counts, [1] * len(group.ranks)
         )
         return self._improve(unpack_map(target.packed), status)
@@ -278,7 +284,7 @@
         size = len(self._group.ranks)
         self._coordination = Coordination(attempt, map_id, size, LEAD_STEPS)
         self._attempt_started = self._clock.elapsed()
-        return begin(self._coordination)
+        return request_preparation(self._coordination)
 
     def _heartbeats(
         self, status: RankStatus, now: timedelta
--- a/linnetwind/group_runner.py
+++ b/linnetwind/group_runner.py
@@ -15,7 +15,7 @@
 from linnetwind.background import guarded
 from linnetwind.clock import Clock
 from linnetwind.config import Group
-from linnetwind.decisions import log_decision
+from linnetwind.decision_log import log_decision
 from linnetwind.group_planner import GroupPlanner
 from linnetwind.mapswitch import handle_note, handle_status
 from linnetwind.mapswitch_side import Transition, make_participant
@@ -79,15 +79,15 @@
         self._notes: queue.SimpleQueue[GroupNote] = queue.SimpleQueue()
         self._stopped = False
 
-    def take_group(self, group: Group) -> None:
+    def update_group(self, group: Group) -> None:
         """Replace the group's settings.
 
         Args:
           group: The configuration in force.
         """
-        self._planner.take_group(group)
+        self._planner.update_group(group)
 
-    def take(self, note: GroupNote) -> None:
+    def enqueue_note(self, note: GroupNote) -> None:
         """Queue a note from another side daemon for the next round.
 
         May be called on any thread, such as that of the connection.
@@ -134,12 +134,12 @@
     def _handle_note(self, framed: GroupNote) -> None:
         match NOTE_CODEC.decode(framed.note):
             case Ok(Prepared() as prepared):
-                self._perform(self._planner.take_prepared(prepared))
+                self._perform(self._planner.apply_prepared(prepared))
             case Ok(JoinQuery() as query):
                 self._refresh_status()
                 self._apply_transition(handle_note(self._side, query))
             case Ok(note):
-                self._planner.saw_coordinator(note)
+                self._planner.record_coordinator(note)
                 self._apply_transition(handle_note(self._side, note))
 
     def _refresh_status(self) -> None:
--- a/linnetwind/group_brief.py
+++ b/linnetwind/group_summary.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Mapping
 from datetime import timedelta
 
-from linnetwind.peer_book import GroupBrief
+from linnetwind.peer_table import GroupSummary
 from linnetwind.planned_group import PlannedGroup
 from linnetwind.routes import RoutedService
 
@@ -30,12 +30,12 @@
 SLOW_PACE = 1.4
 
 
-def make_briefs(
+def make_summaries(
     service: RoutedService,
     groups: Collection[PlannedGroup],
     now: timedelta,
     outages: Mapping[str, timedelta],
-) -> list[GroupBrief]:
+) -> list[GroupSummary]:
     """Summarize the groups of a service for the gateways.
 
     Args:
@@ -59,7 +59,7 @@
     group: PlannedGroup,
     now: timedelta,
     outage: timedelta,
-) -> GroupBrief:
+) -> GroupSummary:
     group_is_open = is_open(group, now)
     opens_in = timedelta()
     if not group_is_open:
@@ -69,7 +69,7 @@
         for rank, each in group.reports.items()
         if each.pace > SLOW_PACE
     ]
-    return GroupBrief(
+    return GroupSummary(
         service=service.name,
         group=group.name,
         epoch=max(each.epoch for each in group.reports.values()),
--- a/linnetwind/group_brief_test.py
+++ b/linnetwind/group_summary_test.py
@@ -2,15 +2,15 @@
 
 from datetime import timedelta
 
-from linnetwind.group_brief import make_briefs
-from linnetwind.group_looks import ObservedRank
+from linnetwind.group_summary import make_summaries
+from linnetwind.group_observations import ObservedRank
 from linnetwind.planned_group import (
     GROUP_EXPIRY,
     PlannedGroup,
     PlannedService,
-    take_groups,
+    update_groups,
 )
-from linnetwind.rank_messages import Seen
+from linnetwind.rank_messages import RankSnapshot
 from linnetwind.routes import RoutedService
 from standins.gateway_fixtures import make_engine, make_report, make_upstream
 
@@ -34,7 +34,7 @@
             running=running,
         )
         ranks[rank] = ObservedRank(
-            upstream, upstream.life, report, Seen(report)
+            upstream, upstream.life, report, RankSnapshot(report)
         )
     group = PlannedGroup(name, None, timedelta(), ranks=ranks, skew=skew)
     group.reports = {rank: each.report for rank, each in ranks.items()}
@@ -43,7 +43,9 @@
 
 
 def _summaries(groups, now=timedelta()):
-    return {each.group: each for each in make_briefs(SERVICE, groups, now, {})}
+    return {
+        each.group: each for each in make_summaries(SERVICE, groups, now, {})
+    }
 
 
 def test_a_broken_group_is_distinguished_from_a_healthy_one():
@@ -100,10 +102,10 @@
 def test_a_group_that_does_not_reply_expires():
     planned = PlannedService(None)
     ranks = _group('a').ranks
-    take_groups(planned, {'a': ranks, 'b': ranks}, timedelta())
-    take_groups(planned, {'a': ranks}, GROUP_EXPIRY)
+    update_groups(planned, {'a': ranks, 'b': ranks}, timedelta())
+    update_groups(planned, {'a': ranks}, GROUP_EXPIRY)
     assert sorted(planned.groups) == ['a', 'b']
-    take_groups(planned, {'a': ranks}, GROUP_EXPIRY + SECOND)
+    update_groups(planned, {'a': ranks}, GROUP_EXPIRY + SECOND)
     assert sorted(planned.groups) == ['a']
 
 
@@ -131,8 +133,8 @@
     group = _group('a', is_open=False, paces=(1.0, 1.0, 1.0))
     group.reports.pop(1)
     outages = {'a': 4 * SECOND}
-    soon = make_briefs(SERVICE, [group], SECOND, outages)[0].opens_in_ms
-    late = make_briefs(SERVICE, [group], 5 * SECOND, outages)[0].opens_in_ms
+    soon = make_summaries(SERVICE, [group], SECOND, outages)[0].opens_in_ms
+    late = make_summaries(SERVICE, [group], 5 * SECOND, outages)[0].opens_in_ms
     assert soon == 3000
     assert late == SERVICE.engine.form_ms + 5000
 
--- a/linnetwind/group_wait.py
+++ b/linnetwind/group_wait.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from linnetwind.caller_connection import CallerConnection
-from linnetwind.journey import GatewayTools, Journey
+from linnetwind.request_context import GatewayContext, RequestContext
 
 _POLL_INTERVAL_MS = 25
 _POLL_INTERVAL = timedelta(milliseconds=_POLL_INTERVAL_MS)
@@ -15,7 +15,7 @@
 
 
 def await_open_group(
-    tools: GatewayTools, connection: CallerConnection, context: Journey
+    tools: GatewayContext, connection: CallerConnection, context: RequestContext
 ) -> timedelta | None:
     """Wait until a stream's service has an open group, if that is soon enough.
 
@@ -36,14 +36,16 @@
     deadline = _wait_deadline(context)
     while opens_in is not None:
         now = tools.clock.elapsed()
-        if now + opens_in > deadline or connection.left():
+        if now + opens_in > deadline or connection.has_disconnected():
             return opens_in
         threading.Event().wait(_POLL_INTERVAL.total_seconds())
         opens_in = group_opens_in(tools, context)
     return None
 
 
-def group_opens_in(tools: GatewayTools, context: Journey) -> timedelta | None:
+def group_opens_in(
+    tools: GatewayContext, context: RequestContext
+) -> timedelta | None:
     """Return how long it should take until a service has an open group.
 
     Args:
@@ -56,10 +58,10 @@
     """
     if context.service.engine is None:
         return None
-    return tools.state.room.opens_in(context.service.name)
+    return tools.state.stream_admission.opens_in(context.service.name)
 
 
-def _wait_deadline(context: Journey) -> timedelta:
+def _wait_deadline(context: RequestContext) -> timedelta:
     """Return the monotonic time until which the caller may get no event."""
     last_sent_at = context.last_event_at or context.request.received
     return min(last_sent_at + _MAX_WAIT, context.until)
--- a/linnetwind/call_run.py
+++ b/linnetwind/in_flight_call.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from linnetwind.answer import (
+from linnetwind.response_assembler import (
     Body,
     Failed,
     Finished,
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class OpenAnswer:
+class OpenResponse:
     """A response whose head and first part have arrived."""
 
     status: int
@@ -56,7 +56,7 @@
     deadline: timedelta
 
 
-class BrokenAnswer(Exception):  # noqa: N818
+class InterruptedResponse(Exception):  # noqa: N818
     """The response broke off after its head was sent to the caller."""
 
     def __init__(self, outcome: NotRun | Unknown) -> None:
@@ -97,7 +97,7 @@
         self._min_buffered_bytes = 1 if streamed else MAX_BUFFERED_BYTES
         self._assembler = ResponseAssembler()
 
-    def open(self) -> OpenAnswer | NotRun | Unknown:
+    def open(self) -> OpenResponse | NotRun | Unknown:
         """Wait until the response starts or the call fails.
 
         Returns:
@@ -126,7 +126,9 @@
                 has_enough or isinstance(step, Finished)
             ):
                 remaining_body = self._body(buffered, steps)
-                return OpenAnswer(opened.status, opened.headers, remaining_body)
+                return OpenResponse(
+                    opened.status, opened.headers, remaining_body
+                )
         return Unknown(Reason.INTERNAL)
 
     def _body(
@@ -152,7 +154,7 @@
                 yield Failed(outcome)
                 return
             with self._links.lock:
-                self._fleet.sign_of_life(self._sent_call.upstream)
+                self._fleet.record_frame_received(self._sent_call.upstream)
             for step in self._assembler.accept(frame):
                 yield self._record_failure_or_end(step)
 
@@ -190,16 +192,16 @@
             or link.peer.incarnation != sent_call.link.peer.incarnation
         ):
             return Unknown(reason)
-        call_status = link.ask_fate(call_id, STATUS_QUERY_SECONDS)
+        call_status = link.query_call_status(call_id, STATUS_QUERY_SECONDS)
         if call_status is None or call_status.started:
             link.post(Cancel(call_id))
             return Unknown(reason)
         return NotRun(reason, _SECOND)
 
     def _record_call_end(self, reason: Reason | None) -> None:
-        self._sent_call.link.forget(self._sent_call.stream.call_id)
+        self._sent_call.link.discard_call(self._sent_call.stream.call_id)
         with self._links.lock:
-            self._fleet.call_ended(
+            self._fleet.record_call_end(
                 self._sent_call.upstream, failed=reason in _UPSTREAM_FAULTS
             )
 
@@ -210,4 +212,4 @@
             case Body(body):
                 yield body
             case Failed(outcome):
-                raise BrokenAnswer(outcome)
+                raise InterruptedResponse(outcome)
--- a/linnetwind/call_run_test.py
+++ b/linnetwind/in_flight_call_test.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from linnetwind.answer import LinkLost
-from linnetwind.call_run import (
+from linnetwind.response_assembler import LinkLost
+from linnetwind.in_flight_call import (
     MAX_BUFFERED_BYTES,
-    BrokenAnswer,
+    InterruptedResponse,
     InFlightCall,
-    OpenAnswer,
+    OpenResponse,
     SentCall,
 )
 from linnetwind.clock import ManualClock
@@ -23,7 +23,7 @@
     Challenge,
     Chunk,
     End,
-    Fate,
+    CallStatus,
     Head,
     Lost,
     Refused,
@@ -40,20 +40,20 @@
     """A link that returns the call status in its `fate` field."""
 
     incarnation: str = 'first process'
-    fate: Fate | None = None
+    fate: CallStatus | None = None
     posted: list = field(default_factory=list)
 
     @property
     def peer(self):
         return peer(self.incarnation)
 
-    def ask_fate(self, _call_id, _timeout):
+    def query_call_status(self, _call_id, _timeout):
         return self.fate
 
     def post(self, message):
         self.posted.append(message)
 
-    def forget(self, call_id):
+    def discard_call(self, call_id):
         """Do nothing; no frames are buffered."""
 
 
@@ -76,7 +76,7 @@
     link = FakeLink()
     sent_call = SentCall('up', link, stream, timedelta(seconds=0.01))
     fleet = Fleet(clock)
-    fleet.call_sent('up', ())
+    fleet.record_call_sent('up', ())
     return InFlightCall(
         sent_call, fleet, FakePool(new_link), clock, streamed=streamed
     )
@@ -85,10 +85,10 @@
 CALL_STATUS_CASES = [
     # the new link, the type of the outcome
     (None, Unknown),
-    (FakeLink('first process', Fate('c', started=False)), NotRun),
-    (FakeLink('first process', Fate('c', started=True)), Unknown),
+    (FakeLink('first process', CallStatus('c', started=False)), NotRun),
+    (FakeLink('first process', CallStatus('c', started=True)), Unknown),
     (FakeLink('first process', None), Unknown),
-    (FakeLink('restarted process', Fate('c', started=False)), Unknown),
+    (FakeLink('restarted process', CallStatus('c', started=False)), Unknown),
 ]
 
 
@@ -128,8 +128,8 @@
         streamed=streamed,
     )
     opened = run.open()
-    assert isinstance(opened, OpenAnswer)
-    with pytest.raises(BrokenAnswer):
+    assert isinstance(opened, OpenResponse)
+    with pytest.raises(InterruptedResponse):
         list(opened.body)
 
 
--- a/linnetwind/keyed_calls.py
+++ b/linnetwind/keyed_calls.py
@@ -21,17 +21,17 @@
     CLAIMS_CODEC,
     Claim,
     ClaimedKey,
-    Done,
+    RecordedOutcome,
     FinishedKey,
     LedgerRecord,
     SlotTakeover,
     SlotLedger,
-    StoredAnswer,
+    StoredResponse,
     WithdrawnClaim,
     slot_stream,
 )
 from linnetwind.clock import Clock
-from linnetwind.decisions import log_decision
+from linnetwind.decision_log import log_decision
 from linnetwind.errors import LogUnavailable
 from linnetwind.log_port import LogPort, read_to_end
 from linnetwind.messages import Call, Chunk, End, Head, Lost, Refused
@@ -57,10 +57,10 @@
     complete: bool = False
 
     @property
-    def answer(self) -> StoredAnswer | None:
+    def answer(self) -> StoredResponse | None:
         """Return the response if it is complete and small enough to store."""
         if self.complete and len(self.body) <= MAX_STORED_BODY_BYTES:
-            return StoredAnswer(self.status, self.headers, self.body)
+            return StoredResponse(self.status, self.headers, self.body)
         return None
 
 
@@ -142,7 +142,7 @@
             case Refused() | Lost():
                 _log_refusal(call, decision.reason)
                 send(decision)
-            case StoredAnswer():
+            case StoredResponse():
                 _log_refusal(call, Reason.RAN_BEFORE)
                 _replay(decision, call.call_id, send)
 
@@ -153,7 +153,7 @@
 
     def _decide(
         self, slot: _Slot, call: Call, send: Send
-    ) -> Claim | Refused | Lost | StoredAnswer | None:
+    ) -> Claim | Refused | Lost | StoredResponse | None:
         """Decide what to do with a call; None if it joined a running one."""
         # While the log is unavailable, this side cannot know whether another
         # side has claimed the key. Calls are refused at once, rather than
@@ -176,7 +176,7 @@
         call: Call,
         send: Send,
         previous: ClaimedKey | FinishedKey,
-    ) -> Lost | StoredAnswer | None:
+    ) -> Lost | StoredResponse | None:
         followers = slot.running.get(call.key or b'')
         if followers is not None:
             followers.append((call.call_id, send))
@@ -263,7 +263,9 @@
                 slot.abandoned.add(claim.claim_id)
                 slot.unlogged.append(WithdrawnClaim(claim.claim_id, claim.key))
             elif isinstance(last, End):
-                done = Done(claim.claim_id, claim.key, recorded.answer)
+                done = RecordedOutcome(
+                    claim.claim_id, claim.key, recorded.answer
+                )
                 slot.unlogged.append(done)
                 slot.ledger.record_outcome(done)
         for call_id, send in followers:
@@ -278,7 +280,7 @@
             case Ok(offset):
                 slot.unlogged.clear()
                 slot.abandoned -= _withdrawn_ids(batch)
-                if slot.ledger.take_own(offset, batch):
+                if slot.ledger.fold_appended(offset, batch):
                     return Ok(None)
                 return self._catch_up(slot)
             case Err() as failed:
@@ -316,7 +318,7 @@
             recorded.complete = True
 
 
-def _replay(answer: StoredAnswer, call_id: str, send: Send) -> None:
+def _replay(answer: StoredResponse, call_id: str, send: Send) -> None:
     send(Head(call_id, answer.status, answer.headers))
     send(Chunk(call_id, 0, answer.body))
     send(End(call_id, 1))
@@ -326,7 +328,7 @@
     call_id: str,
     send: Send,
     last: Refused | Lost | End,
-    answer: StoredAnswer | None,
+    answer: StoredResponse | None,
 ) -> None:
     match last:
         case Refused(reason=reason, retry_after_ms=wait_ms):
--- a/linnetwind/keyed_calls_test.py
+++ b/linnetwind/keyed_calls_test.py
@@ -8,7 +8,7 @@
 from linnetwind.address import Address
 from linnetwind.claims import CLAIMS_CODEC, Claim, SlotTakeover, slot_stream
 from linnetwind.clock import ManualClock
-from linnetwind.gate import Gate
+from linnetwind.call_admission import CallAdmission
 from linnetwind.keyed_calls import MAX_STORED_BODY_BYTES, KeyedCalls
 from linnetwind.messages import Call, Chunk, End, Head, Lost, Refused
 from linnetwind.outcome import Reason
@@ -69,7 +69,7 @@
         self.keyed = KeyedCalls(self.log, self.name, self.executor, self.clock)
         self.calls = UpstreamCalls(
             Address('127.0.0.1', 1),
-            Gate(4, self.clock),
+            CallAdmission(4, self.clock),
             self.calls_executor,
             self.clock,
         )
@@ -107,7 +107,9 @@
 @pytest.fixture
 def doubles(monkeypatch):
     upstream = FakeUpstream()
-    monkeypatch.setattr('linnetwind.side_calls.UpstreamRun', upstream.start_run)
+    monkeypatch.setattr(
+        'linnetwind.side_calls.UpstreamHttpCall', upstream.start_run
+    )
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     log = FakeLog()
     return upstream, log, clock
@@ -370,7 +372,7 @@
         )
         return start_run(address, call)
 
-    monkeypatch.setattr('linnetwind.side_calls.UpstreamRun', spy)
+    monkeypatch.setattr('linnetwind.side_calls.UpstreamHttpCall', spy)
     for number in range(3):
         first.send_call(bytes([number]))
     assert claim_was_logged == [True, True, True]
--- a/linnetwind/limit_share.py
+++ b/linnetwind/limit_share.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 
 _SECOND = timedelta(seconds=1)
 # An upstream that accepts no requests still gets one in four seconds, because
@@ -61,7 +61,10 @@
 
 
 def rate_share_of(
-    life: Life, limit_per_s: float, own: str, demands: Mapping[str, float]
+    life: UpstreamIncarnation,
+    limit_per_s: float,
+    own: str,
+    demands: Mapping[str, float],
 ) -> RateShare:
     """Return this daemon's share of an upstream's limit.
 
@@ -104,7 +107,7 @@
 
 
 def _senders(
-    life: Life, per_s: float, demands: Mapping[str, float]
+    life: UpstreamIncarnation, per_s: float, demands: Mapping[str, float]
 ) -> list[str]:
     """Return the daemons that may send.
 
--- a/linnetwind/limit_share_test.py
+++ b/linnetwind/limit_share_test.py
@@ -8,9 +8,9 @@
 import pytest
 
 from linnetwind.limit_share import NO_RATE_SHARE, SendSchedule, rate_share_of
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 
-LIFE = Life('i-1#5')
+LIFE = UpstreamIncarnation('i-1#5')
 SECOND = timedelta(seconds=1)
 WINDOW_S = 4
 # An upstream tolerates this multiple of its limit in the window, plus EXTRA.
--- a/linnetwind/link.py
+++ b/linnetwind/link.py
@@ -10,24 +10,24 @@
 from websockets.sync.client import ClientConnection, connect
 
 from linnetwind.address import Address
-from linnetwind.answer import Frame, LinkLost
+from linnetwind.response_assembler import Frame, LinkLost
 from linnetwind.messages import (
     Call,
     Challenge,
     Chunk,
     End,
-    Fate,
-    FateQuery,
+    CallStatus,
+    CallStatusQuery,
     Head,
     Lost,
     Refused,
 )
-from linnetwind.peer import (
+from linnetwind.peer_connection import (
     HANDSHAKE_SECONDS,
     MAX_FRAME_BYTES,
     Identity,
     PeerLost,
-    greet,
+    connect_handshake,
     receive_message,
     send_message,
 )
@@ -111,7 +111,7 @@
             frames.put(LinkLost())
         return Ok(CallStream(call.call_id, frames))
 
-    def forget(self, call_id: str) -> None:
+    def discard_call(self, call_id: str) -> None:
         """Drop the frames that still arrive for a call.
 
         Args:
@@ -131,7 +131,9 @@
         """
         return send_message(self._socket, message)
 
-    def ask_fate(self, call_id: str, timeout: float) -> Fate | None:
+    def query_call_status(
+        self, call_id: str, timeout: float
+    ) -> CallStatus | None:
         """Query whether a call started, and bar it if it has not.
 
         Args:
@@ -146,13 +148,13 @@
         with self._lock:
             self._queues[query_key] = replies
         try:
-            self.post(FateQuery(call_id))
+            self.post(CallStatusQuery(call_id))
             reply = replies.get(timeout=timeout)
         except queue.Empty:
             return None
         finally:
-            self.forget(query_key)
-        return reply if isinstance(reply, Fate) else None
+            self.discard_call(query_key)
+        return reply if isinstance(reply, CallStatus) else None
 
     def close(self) -> None:
         """Close the connection; calls in flight receive `LinkLost`."""
@@ -177,7 +179,7 @@
         match message:
             case Head() | Chunk() | End() | Refused() | Lost():
                 self._put(message.call_id, message)
-            case Fate(call_id):
+            case CallStatus(call_id):
                 self._put(f'status of {call_id}', message)
             case _:
                 self._on_message(self, message)
@@ -221,6 +223,6 @@
         )
     except Exception as error:
         return Err(PeerLost(repr(error)))
-    return greet(socket, identity, key).map(
+    return connect_handshake(socket, identity, key).map(
         lambda peer: Link(socket, peer, on_message, on_lost),
     )
--- a/linnetwind/link_pool.py
+++ b/linnetwind/link_pool.py
@@ -11,10 +11,10 @@
 from result import Err, Ok
 
 from linnetwind.clock import Clock
-from linnetwind.decisions import log_decision
+from linnetwind.decision_log import log_decision
 from linnetwind.fleet import Fleet
 from linnetwind.link import Link, open_link
-from linnetwind.peer import Identity
+from linnetwind.peer_connection import Identity
 
 _INITIAL_BACKOFF = timedelta(seconds=0.5)
 _MAX_BACKOFF = timedelta(seconds=10)
@@ -159,7 +159,7 @@
                 case Ok(link):
                     self._links[host] = link
                     self._attempts.pop(host, None)
-                    self._fleet.connected(host)
+                    self._fleet.record_connected(host)
                     log_decision('connected', {'side': link.peer.name})
                     self._on_message(host, link, link.peer)
                 case Err(lost):
@@ -181,7 +181,7 @@
             # detected.
             if self._links.get(host) is link:
                 self._links.pop(host)
-                self._fleet.disconnected(host)
+                self._fleet.record_disconnected(host)
 
     def _back_off(self, host: str) -> None:
         # Exponential backoff with jitter keeps hundreds of daemons that lost
@@ -197,6 +197,6 @@
     def _close_link(self, host: str) -> None:
         with self.lock:
             link = self._links.pop(host, None)
-            self._fleet.disconnected(host)
+            self._fleet.record_disconnected(host)
         if link is not None:
             link.close()
--- a/linnetwind/link_pool_test.py
+++ b/linnetwind/link_pool_test.py
@@ -10,7 +10,7 @@
 from linnetwind.hosts_port import Host, HostState
 from linnetwind.link_pool import LinkPool
 from linnetwind.messages import Challenge
-from linnetwind.peer import Identity
+from linnetwind.peer_connection import Identity
 
 UPSTREAM = Upstream('cards-1', 'host-1', 'site', 4)
 
@@ -51,7 +51,7 @@
     monkeypatch.setattr(link_pool, 'open_link', open_link)
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     fleet = Fleet(clock)
-    fleet.take_hosts(
+    fleet.update_hosts(
         [Host('host-1', 'site', Address('127.0.0.1', 1), HostState.LIVE)]
     )
     pool = LinkPool(
--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -1,6 +1,6 @@
 """Plan and roll out the expert maps of rank groups while this daemon leads.
 
-All decisions are made in `rollout`, `map_wish` and `expert_demand`; this
+All decisions are made in `rollout`, `target_map` and `expert_demand`; this
 module is the loop around them.
 """
 
@@ -18,43 +18,43 @@
     OrderFailed,
 )
 from linnetwind.gateway_state import GatewayState
-from linnetwind.group_brief import is_open, make_briefs
-from linnetwind.group_looks import (
+from linnetwind.group_summary import is_open, make_summaries
+from linnetwind.group_observations import (
     counts_of,
     newest_by_address,
-    sort_by_group,
+    index_by_group,
 )
-from linnetwind.map_wish import (
+from linnetwind.target_map import (
     can_gain,
     even_demand,
     map_skew,
     plan_map,
 )
-from linnetwind.peer_book import GroupBrief
+from linnetwind.peer_table import GroupSummary
 from linnetwind.peer_mesh import PeerMesh
 from linnetwind.planned_group import (
     PlannedGroup,
     PlannedService,
     Reports,
-    forget_maps,
+    discard_maps,
     needs_experts,
-    take_groups,
-    take_ranks,
+    update_groups,
+    update_ranks,
 )
-from linnetwind.planner_rest import PlannerRest, rest_when_overtaken
+from linnetwind.planner_backoff import PlannerBackoff, back_off_when_superseded
 from linnetwind.rank_link import GroupLinks, RankLink
-from linnetwind.rank_messages import Look
+from linnetwind.rank_messages import RankQuery
 from linnetwind.rank_types import OrderResult, RankReport
 from linnetwind.rollout import (
     LEAD_PASSES,
     LONG_LEAD_PASSES,
-    MapWish,
+    TargetMap,
     Round,
     is_whole,
     next_round,
 )
 from linnetwind.routes import RoutedService
-from linnetwind.step_log import StepLog
+from linnetwind.event_log import EventLog
 from linnetwind.upstream_list import Upstream
 
 # How often the ranks are polled for their counts: about every two passes.
@@ -107,7 +107,7 @@
         mesh: PeerMesh,
         open_link: LinkOpener,
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
     ) -> None:
         """Start without any groups.
 
@@ -153,7 +153,7 @@
             if service.engine is not None and service.engine.layers:
                 summaries.extend(self._plan_service(service))
         for summary in summaries:
-            self._state.room.take_brief(summary)
+            self._state.stream_admission.apply_summary(summary)
         groups = [
             group
             for each in self._services.values()
@@ -173,7 +173,7 @@
         # that reason, it would rotate among all daemons until the rank is back.
         return bool(group.reports) and not is_open(group, now)
 
-    def _plan_service(self, service: RoutedService) -> list[GroupBrief]:
+    def _plan_service(self, service: RoutedService) -> list[GroupSummary]:
         planned = self._services.get(service.name)
         if planned is None:
             planned = PlannedService(GroupLinks(self._open_link))
@@ -187,8 +187,8 @@
                 rounds -= 1
                 reports = self._run_round(service, group, reports)
         groups = planned.groups.values()
-        outages = self._state.room.outages(service.name)
-        return make_briefs(service, groups, self._clock.elapsed(), outages)
+        outages = self._state.stream_admission.outages(service.name)
+        return make_summaries(service, groups, self._clock.elapsed(), outages)
 
     def _counts_due(self, planned: PlannedService) -> bool:
         """Return whether to read the counts now; if so, record the time."""
@@ -210,14 +210,14 @@
         registered = newest_by_address(
             self._state.upstreams.registered(service.name)
         )
-        planned.links.keep(registered)
+        planned.links.close_except(registered)
         with_counts = self._counts_due(planned)
-        query = Look(with_counts, with_counts and needs_experts(planned))
-        observed = sort_by_group(planned.links.look(registered, query))
+        query = RankQuery(with_counts, with_counts and needs_experts(planned))
+        observed = index_by_group(planned.links.query_state(registered, query))
         now = self._clock.elapsed()
-        take_groups(planned, observed, now)
+        update_groups(planned, observed, now)
         for group in planned.groups.values():
-            take_ranks(group, observed.get(group.name, {}), now)
+            update_ranks(group, observed.get(group.name, {}), now)
             if with_counts:
                 group.demand = group.demand.apply_counts(
                     counts_of(group.ranks), now
@@ -226,11 +226,11 @@
     def _poll_group(self, group: PlannedGroup) -> Reports:
         """Poll the ranks of a group between two rounds."""
         upstreams = [each.upstream for each in group.ranks.values()]
-        observed = sort_by_group(
-            group.links.look(upstreams, Look(with_counts=False))
+        observed = index_by_group(
+            group.links.query_state(upstreams, RankQuery(with_counts=False))
         )
         now = self._clock.elapsed()
-        take_ranks(group, observed.get(group.name, {}), now)
+        update_ranks(group, observed.get(group.name, {}), now)
         return group.reports
 
     def _run_round(
@@ -242,18 +242,18 @@
           The reports for a round that may follow immediately; empty if the
           group needs time.
         """
-        decided = next_round(reports, group.wish, self._lead_passes(group))
+        decided = next_round(reports, group.target, self._lead_passes(group))
         self._record_stage(service, group, decided.stage, reports)
         match decided.stage:
             case 'idle' | 'in use':
                 self._update_backoff(group, decided.stage)
-                group.wish = self._plan_if_allowed(service, group, reports)
-                return reports if group.wish else {}
+                group.target = self._plan_if_allowed(service, group, reports)
+                return reports if group.target else {}
             case 'a new map is needed':
-                group.wish = self._plan_target(
+                group.target = self._plan_target(
                     service, group, reports, force=True
                 )
-                return reports if group.wish else {}
+                return reports if group.target else {}
         if not decided.commands:
             return {}
         newer = self._send_orders(group, decided)
@@ -266,18 +266,18 @@
 
     def _update_backoff(self, group: PlannedGroup, stage: str) -> None:
         if stage == 'in use':
-            group.rest = PlannerRest()
-        elif group.wish is not None:
+            group.backoff = PlannerBackoff()
+        elif group.target is not None:
             # Idle in spite of a target map: a rank has a newer version of
             # another planner.
-            group.rest = rest_when_overtaken(
-                group.rest, self._clock.elapsed(), random.random()
+            group.backoff = back_off_when_superseded(
+                group.backoff, self._clock.elapsed(), random.random()
             )
 
     def _plan_if_allowed(
         self, service: RoutedService, group: PlannedGroup, reports: Reports
-    ) -> MapWish | None:
-        if self._clock.elapsed() < group.rest.until:
+    ) -> TargetMap | None:
+        if self._clock.elapsed() < group.backoff.until:
             return None
         return self._plan_target(service, group, reports, force=False)
 
@@ -323,7 +323,7 @@
         reports: Reports,
         *,
         force: bool,
-    ) -> MapWish | None:
+    ) -> TargetMap | None:
         tokens = group.demand.by_layer(service.engine.layers)
         if not sum(map(sum, tokens)):
             # A held group runs no passes, so nothing is counted; it needs a new
@@ -338,7 +338,7 @@
             if now - group.settled_at < _FUTILE_PLAN_BACKOFF
             else 0
         )
-        use = self._state.room.use(service.name, group.name)
+        use = self._state.stream_admission.utilization(service.name, group.name)
         if not force and not can_gain(group.skew, use, settled):
             return None
         planned = plan_map(
@@ -350,14 +350,14 @@
             force=force,
             pause=self._yield_to_streams,
         )
-        if planned.wish is None:
+        if planned.target is None:
             group.settled = group.skew
             group.settled_at = now
             return None
         self._log.event(
             MapPlanned(
                 _full_name(service, group),
-                planned.wish.version,
+                planned.target.version,
                 planned.moves,
                 round(planned.skew_before, 3),
                 round(planned.skew_after, 3),
@@ -365,7 +365,7 @@
                 planned.reason,
             )
         )
-        return planned.wish
+        return planned.target
 
     def _yield_to_streams(self) -> None:
         if self._clock.elapsed() - self._computing_since >= _MAX_COMPUTE_TIME:
@@ -382,7 +382,7 @@
         if stage == group.stage:
             return
         now = self._clock.elapsed()
-        version = group.wish.version if group.wish else 0
+        version = group.target.version if group.target else 0
         step = max(each.step for each in reports.values())
         before = group.stage
         took = now - group.stage_since if before else timedelta()
@@ -400,12 +400,12 @@
         reports = group.reports
         epoch = max((each.epoch for each in reports.values()), default=0)
         now = (epoch, is_whole(reports))
-        if now == group.was:
+        if now == group.logged_state:
             return
-        if group.was is not None and group.was[0] != epoch:
+        if group.logged_state is not None and group.logged_state[0] != epoch:
             # The group formed again: map 0 is in use and nothing is prepared.
-            forget_maps(group)
-        group.was = now
+            discard_maps(group)
+        group.logged_state = now
         name = _full_name(service, group)
         self._log.event(GroupChanged(name, *now, len(reports)))
 
--- a/linnetwind/map_planner_test.py
+++ b/linnetwind/map_planner_test.py
@@ -11,7 +11,7 @@
 from linnetwind.clock import SystemClock
 from linnetwind.gateway_state import GatewayState
 from linnetwind.map_planner import MapPlanner
-from linnetwind.rank_messages import Obeyed, Seen, count_lanes
+from linnetwind.rank_messages import OrderReply, RankSnapshot, make_lane_counts
 from linnetwind.rank_packing import join_counts
 from linnetwind.rank_types import (
     HoldPass,
@@ -21,9 +21,9 @@
     RankExperts,
     RankReport,
 )
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService, RouteTable
-from linnetwind.upstream_list import Registered, UpstreamList
+from linnetwind.upstream_list import UpstreamRecord, UpstreamList
 from standins.gateway_fixtures import (
     make_engine,
     make_report,
@@ -71,14 +71,14 @@
         self._address = address
         self.closed = False
 
-    def look(self, query):
+    def query_state(self, query):
         rank = self._ranks.get(self._address.port)
         if rank is None:
-            return Seen(None)
+            return RankSnapshot(None)
         rank.queries['experts'] += query.with_experts
         experts = rank.experts if query.with_experts else None
         counts = rank.counts if query.with_counts else None
-        return Seen(rank.report, counts, experts)
+        return RankSnapshot(rank.report, counts, experts)
 
     def command(self, order):
         rank = self._ranks[self._address.port]
@@ -87,8 +87,8 @@
             rank.report = replace(
                 rank.report, born_ms=2, sequence=0, prepared=None
             )
-            return Obeyed(OrderResult.BEGUN, rank.report)
-        return Obeyed(OrderResult.REFUSED, rank.report)
+            return OrderReply(OrderResult.STARTED, rank.report)
+        return OrderReply(OrderResult.REFUSED, rank.report)
 
     def close(self):
         self.closed = True
@@ -98,7 +98,7 @@
     """A planner over two ranks at ports 81 and 82."""
 
     def __init__(self):
-        terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+        terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
         clock = SystemClock()
         self.state = GatewayState(clock, Address('127.0.0.1', 1), terms)
         self.mesh = Mesh()
@@ -124,7 +124,7 @@
         epoch = report.epoch
         self.ranks[port] = Rank(
             report,
-            count_lanes(RankCounts(epoch, step, (0, 0, 0, 0), born_ms)),
+            make_lane_counts(RankCounts(epoch, step, (0, 0, 0, 0), born_ms)),
             RankExperts(epoch, report.map_version, (held,), born_ms),
         )
         entry = make_upstream(f'r{rank}', port, 'model', born_ms=born_ms)
@@ -132,10 +132,10 @@
 
     def register(self, entry):
         """Add an entry to the list of upstreams."""
-        record = Registered(entry.instance, self.offset, entry)
+        record = UpstreamRecord(entry.instance, self.offset, entry)
         self.offset += 1
         self.state.change_upstreams(
-            lambda known: known.take([record], self.offset)
+            lambda known: known.fold_records([record], self.offset)
         )
 
     def read_by_key(self):
@@ -145,15 +145,15 @@
             key=lambda each: each.instance,
         )
         self.state.change_upstreams(
-            lambda _known: UpstreamList().take(records, self.offset)
+            lambda _known: UpstreamList().fold_records(records, self.offset)
         )
 
     def drop(self, instance):
         """Remove an entry, as if its lease had expired."""
-        record = Registered(instance, self.offset, None)
+        record = UpstreamRecord(instance, self.offset, None)
         self.offset += 1
         self.state.change_upstreams(
-            lambda known: known.take([record], self.offset)
+            lambda known: known.fold_records([record], self.offset)
         )
 
     def count(self, port, step, *counts):
@@ -213,12 +213,12 @@
     bed.count(81, 6, 9_000, 0, 0, 0)
     bed.count(82, 6, 0, 0, 0, 0)
     group = bed.poll()
-    assert group.wish is not None
+    assert group.target is not None
     assert any(isinstance(each, PrepareMap) for each in bed.ranks[81].orders)
-    target_version = group.wish.version
+    target_version = group.target.version
     bed.start(1, 82, born_ms=2, step=6)
     group = bed.poll()
-    assert group.wish is None or group.wish.version != target_version
+    assert group.target is None or group.target.version != target_version
 
 
 def test_counts_of_a_previous_incarnation_are_not_subtracted(bed):
@@ -293,14 +293,14 @@
     # a map that the new incarnation does not hold.
     bed.poll()
     bed.count(81, 6, 9_000, 0, 0, 0)
-    target_version = bed.poll().wish.version
+    target_version = bed.poll().target.version
     for rank in bed.ranks.values():
         rank.report = replace(rank.report, prepared=target_version)
         rank.orders.clear()
     bed.ranks[81].restarts_at = HoldPass
     group = bed.poll()
     assert [type(each) for each in bed.ranks[81].orders] == [HoldPass]
-    assert (group.wish, group.maps) == (None, None)
+    assert (group.target, group.maps) == (None, None)
     assert group.ranks[0].life == 'r0#2'
 
 
@@ -315,11 +315,11 @@
     bed.poll()
     bed.count(81, 6, 9_000, 0, 0, 0)
     bed.count(82, 6, 0, 0, 0, 0)
-    wish = bed.poll().wish
-    assert wish is not None
+    target = bed.poll().target
+    assert target is not None
     for rank in bed.ranks.values():
         rank.orders.clear()
-        rank.report = replace(rank.report, prepared=wish.version + 1)
+        rank.report = replace(rank.report, prepared=target.version + 1)
     for step in range(7, 12):
         bed.count(81, step, 9_000 * step, 0, 0, 0)
         bed.poll()
--- a/linnetwind/mapcoordinator.py
+++ b/linnetwind/mapcoordinator.py
@@ -35,7 +35,7 @@
     armed: bool = False
 
 
-def begin(coordination: Coordination) -> tuple[Send, ...]:
+def request_preparation(coordination: Coordination) -> tuple[Send, ...]:
     """Request the ranks that have not replied yet to load the map.
 
     The caller repeats this until all ranks have replied.
@@ -55,7 +55,7 @@
     )
 
 
-def take_prepared(
+def apply_prepared(
     coordination: Coordination, note: Prepared
 ) -> tuple[Coordination, tuple[Send, ...]]:
     """Record a rank's reply; arm all ranks once the last one has replied.
--- a/linnetwind/messages.py
+++ b/linnetwind/messages.py
@@ -130,14 +130,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FateQuery:
+class CallStatusQuery:
     """Queries whether a call started, and bars it from starting later."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class CallStatus:
     """The reply: whether the call started; if not, it never will."""
 
     call_id: str
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadReport:
     """A load report of an upstream, as measured `age_ms` ago.
 
     `step_ms` is the time of one engine step; for a group, that of the
--- a/linnetwind/pass_meter.py
+++ b/linnetwind/pass_time_estimator.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from linnetwind.routes import EngineFigures
+from linnetwind.routes import EngineProfile
 
 # The age up to which pauses count: the duration of a stream. One pause that is
 # too long makes a stream late, so the longest pass of its duration matters,
@@ -34,7 +34,7 @@
 _ESTIMATE_AGE_MS = 50
 _MAX_ESTIMATE_AGE = timedelta(milliseconds=_ESTIMATE_AGE_MS)
 # The skew that is assumed for a map that no planner has made.
-USUAL_SKEW = 3.0
+DEFAULT_SKEW = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         self._pauses.append(pause)
 
     def estimate_part(
-        self, engine: EngineFigures, now: timedelta, skew: float = 0
+        self, engine: EngineProfile, now: timedelta, skew: float = 0
     ) -> tuple[float, int]:
         """Return the milliseconds that each stream adds to a pass.
 
@@ -92,7 +92,7 @@
         return self._estimate
 
     def _compute(
-        self, engine: EngineFigures, now: timedelta, skew: float
+        self, engine: EngineProfile, now: timedelta, skew: float
     ) -> tuple[float, int]:
         while self._pauses and now - self._pauses[0].at > WINDOW:
             self._pauses.popleft()
@@ -108,7 +108,7 @@
         return parts[int(len(parts) * _PAUSE_QUANTILE)], len(parts)
 
 
-def _skew_factor(engine: EngineFigures, before: float, now: float) -> float:
+def _skew_factor(engine: EngineProfile, before: float, now: float) -> float:
     """Return the ratio of a pass's times under the present and a former map.
 
     Args:
@@ -128,7 +128,7 @@
 
 
 def stream_limit(
-    engine: EngineFigures,
+    engine: EngineProfile,
     ranks: int,
     gap: timedelta,
     estimates: Sequence[tuple[float, int]],
--- a/linnetwind/pass_meter_test.py
+++ b/linnetwind/pass_time_estimator_test.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from linnetwind.pass_meter import PassTimeEstimator, Pause, stream_limit
+from linnetwind.pass_time_estimator import (
+    PassTimeEstimator,
+    Pause,
+    stream_limit,
+)
 from standins.gateway_fixtures import make_engine
 
 MS = timedelta(milliseconds=1)
--- a/linnetwind/peer.py
+++ b/linnetwind/peer_connection.py
@@ -97,7 +97,7 @@
     )
 
 
-def greet(
+def connect_handshake(
     socket: Socket, identity: Identity, key: bytes
 ) -> Result[Challenge, PeerLost]:
     """Perform the handshake of the end that connects.
@@ -128,7 +128,7 @@
             return Err(PeerLost('no challenge'))
 
 
-def welcome(
+def accept_handshake(
     socket: Socket, identity: Identity, key: bytes, config_offset: int
 ) -> Result[Hello, PeerLost]:
     """Perform the handshake of the end that listens.
--- a/linnetwind/peer_test.py
+++ b/linnetwind/peer_connection_test.py
@@ -7,12 +7,12 @@
 import pytest
 
 from linnetwind.messages import Call, Hello, Proof
-from linnetwind.peer import (
+from linnetwind.peer_connection import (
     Identity,
-    greet,
+    connect_handshake,
     receive_message,
     send_message,
-    welcome,
+    accept_handshake,
 )
 from linnetwind.wire import PEER_CODEC, PROTOCOL_VERSION
 
@@ -50,8 +50,8 @@
 def shake_hands(entry_key, side_key):
     one, two = pipes()
     with ThreadPoolExecutor(2) as pool:
-        greeted = pool.submit(greet, one, ENTRY, entry_key)
-        welcomed = pool.submit(welcome, two, SIDE, side_key, 42)
+        greeted = pool.submit(connect_handshake, one, ENTRY, entry_key)
+        welcomed = pool.submit(accept_handshake, two, SIDE, side_key, 42)
         return greeted.result(), welcomed.result()
 
 
@@ -67,7 +67,7 @@
     # own.
     one, two = pipes()
     with ThreadPoolExecutor(1) as pool:
-        welcomed = pool.submit(welcome, two, SIDE, KEY, 0)
+        welcomed = pool.submit(accept_handshake, two, SIDE, KEY, 0)
         hello = Hello(PROTOCOL_VERSION, 'entry', 'x', 'y', b'nonce')
         send_message(one, hello)
         receive_message(one, 1)
@@ -85,7 +85,7 @@
 def test_other_protocol_version_is_rejected():
     one, two = pipes()
     send_message(one, Hello(PROTOCOL_VERSION + 1, 'entry', 'x', 'y', b'n'))
-    assert welcome(two, SIDE, KEY, 0).is_err()
+    assert accept_handshake(two, SIDE, KEY, 0).is_err()
 
 
 BAD_FRAMES = [
--- a/linnetwind/peers.py
+++ b/linnetwind/peer_links.py
@@ -11,7 +11,7 @@
 from linnetwind.address import Address
 from linnetwind.clock import Clock
 from linnetwind.link import Link, open_link
-from linnetwind.peer import Identity
+from linnetwind.peer_connection import Identity
 
 _RETRY_INTERVAL = timedelta(seconds=0.5)
 
--- a/linnetwind/peer_mesh.py
+++ b/linnetwind/peer_mesh.py
@@ -21,22 +21,22 @@
 from linnetwind.daemon_threads import DaemonThreads
 from linnetwind.frames import receive_frame, send_frame
 from linnetwind.gateway_state import GatewayState
-from linnetwind.peer_book import (
+from linnetwind.peer_table import (
     MAX_SEND_INTERVAL,
-    GroupBrief,
+    GroupSummary,
     PeerState,
     PlannerCandidate,
     leader,
 )
 from linnetwind.peer_wire import FullStateSchedule, StateReader, pack_state
-from linnetwind.rank_crashes import hear_rank_crashes
+from linnetwind.rank_crashes import merge_peer_rank_crashes
 from linnetwind.record_store import (
     KeyedRecord,
     Records,
     StoreUnavailable,
     Topic,
 )
-from linnetwind.stop_turns import StopTime, plans_while_stopping
+from linnetwind.drain_order import StopTime, plans_while_stopping
 from linnetwind.upstream_limits import ServiceDemand
 
 _QUERY_TIMEOUT_S = 0.4
@@ -114,7 +114,7 @@
         self._reader = StateReader()
         self._full_states = FullStateSchedule()
         self._changed = threading.Event()
-        self._summaries: tuple[GroupBrief, ...] = ()
+        self._summaries: tuple[GroupSummary, ...] = ()
         self._leaving_at: timedelta | None = None
         self._can_plan = True
         self._copies: Callable[[Topic], Records | None] = _no_copy
@@ -137,14 +137,14 @@
         """
         self._copies = copies
         self._state.call_on_change(self._changed.set)
-        threads.for_ever(self._send_next, 'mesh-send')
-        threads.for_ever(self._receive_next, 'mesh-hear')
+        threads.repeat_forever(self._send_next, 'mesh-send')
+        threads.repeat_forever(self._receive_next, 'mesh-hear')
         threads.accept(
             self._listener, self._serve, 'mesh-copy', _SERVER_THREADS
         )
 
     def publish(
-        self, summaries: tuple[GroupBrief, ...], *, can_plan: bool
+        self, summaries: tuple[GroupSummary, ...], *, can_plan: bool
     ) -> None:
         """Advertise the state of rank groups to the peers, as their planner.
 
@@ -245,20 +245,20 @@
             self._state.running,
             tuple(self._state.peer_table.known_addresses),
             self._summaries,
-            self._state.room.loads(),
-            self._state.books.refusals.tell(),
+            self._state.stream_admission.loads(),
+            self._state.request_history.refusals.to_advertise(),
             self._stopping_ms(),
             self._settings.site,
             self._settings.power,
-            self._state.books.crashes.tell(),
-            self._state.books.crashes.tell_answered(),
-            self._state.books.limits.tell(),
+            self._state.request_history.crashes.to_advertise(),
+            self._state.request_history.crashes.answered_to_advertise(),
+            self._state.request_history.limits.to_advertise(),
             self._demands(),
         )
-        whole = self._full_states.next_is_full(
+        full = self._full_states.next_is_full(
             self._full_state_key(message), self._clock.elapsed()
         )
-        content = pack_state(message, whole=whole)
+        content = pack_state(message, full=full)
         for address in self._addresses():
             # A datagram that cannot be sent counts as lost; the next state
             # follows soon.
@@ -267,15 +267,16 @@
 
     def _demands(self) -> tuple[ServiceDemand, ...]:
         """Return the request rate for each service with a limited upstream."""
-        if not self._state.books.limits.any_known:
+        if not self._state.request_history.limits.any_known:
             return ()
         limited = {
             each.upstream.service
             for each in self._state.upstreams.records.values()
             if each.upstream is not None
-            and self._state.books.limits.per_s(each.upstream.life) is not None
+            and self._state.request_history.limits.per_s(each.upstream.life)
+            is not None
         }
-        demand = self._state.books.repeats.demand
+        demand = self._state.request_history.retry_budgets.demand
         return tuple(
             ServiceDemand(service, demand(service)) for service in limited
         )
@@ -309,13 +310,13 @@
     def _receive_next(self) -> None:
         content, _sender = self._datagrams.recvfrom(_MAX_DATAGRAM_BYTES)
         received = self._reader.read(
-            content, self._state.upstreams.lives_by_tag
+            content, self._state.upstreams.incarnations_by_tag
         )
         # Other datagrams are not states, or are this daemon's own.
         if received is not None and received.name != self._settings.name:
-            self._state.hear(received)
+            self._state.merge_advertised(received)
             now = self._clock.elapsed()
-            hear_rank_crashes(self._state, received.crashes, now)
+            merge_peer_rank_crashes(self._state, received.crashes, now)
 
     def _serve(self, sock: socket.socket) -> None:
         sock.settimeout(_QUERY_TIMEOUT_S)
--- a/linnetwind/peer_mesh_test.py
+++ b/linnetwind/peer_mesh_test.py
@@ -8,7 +8,7 @@
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
 from linnetwind.peer_mesh import LEADERSHIP_DELAY, MeshSettings, PeerMesh
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from standins.gateway_fixtures import make_peer
 
 ANY_PORT = Address('127.0.0.1', 0)
@@ -22,7 +22,7 @@
 
 def _start(clock, name):
     """Return a daemon's state and mesh; nothing is sent."""
-    terms = BudgetTerms(10 * SECOND, 0.2, 88)
+    terms = RetryBudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, ANY_PORT, terms)
     settings = MeshSettings(name, 'site', 'one', ANY_PORT, ())
     return state, PeerMesh(settings, state, clock)
@@ -37,7 +37,7 @@
     clock.advance(LEADERSHIP_DELAY / 2)
     for name, (state, _mesh) in daemons.items():
         for other in daemons.keys() - {name}:
-            state.hear(make_peer(other))
+            state.merge_advertised(make_peer(other))
     clock.advance(LEADERSHIP_DELAY / 2)
     leaders = [name for name, (_state, mesh) in daemons.items() if mesh.leads()]
     assert leaders == ['a']
