--- a/linnetwind/peer_book.py
+++ b/linnetwind/peer_table.py
@@ -15,10 +15,10 @@
 from typing import Self
 
 from linnetwind.address import Address
-from linnetwind.crash_book import ToldCrash
+from linnetwind.crash_history import AdvertisedCrash
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import Life
-from linnetwind.upstream_limits import ServiceDemand, ToldLimit
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.upstream_limits import ServiceDemand, AdvertisedLimit
 
 # The longest time between two states that a daemon sends, and the shortest
 # time when its counts change. In a large fleet both are longer, see
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupBrief:
+class GroupSummary:
     """The state of a rank group, as its planner advertises it.
 
     `skew` is the expert load of the most loaded rank divided by the mean,
@@ -56,12 +56,12 @@
     is_open: bool
     skew: float
     opens_in_ms: int
-    members: tuple[Life, ...]
-    slow: tuple[Life, ...] = ()
+    members: tuple[UpstreamIncarnation, ...]
+    slow: tuple[UpstreamIncarnation, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class PassPart:
+class PassTimePerStream:
     """The time that each stream adds to a pass of a group.
 
     `part_ms` is the time in milliseconds, estimated from `pauses` pauses
@@ -84,7 +84,7 @@
     service: str
     waiting: int
     arrivals_per_s: float
-    parts: tuple[PassPart, ...]
+    parts: tuple[PassTimePerStream, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,17 +111,17 @@
     config_version: int
     leaving: bool
     can_plan: bool
-    running: dict[Life, int]
+    running: dict[UpstreamIncarnation, int]
     members: tuple[Address, ...]
-    groups: tuple[GroupBrief, ...]
+    groups: tuple[GroupSummary, ...]
     loads: tuple[StreamLoad, ...] = ()
     refused: tuple[str, ...] = ()
     stopping_ms: int = 0
     site: str = ''
     power: int = 0
-    crashes: tuple[ToldCrash, ...] = ()
+    crashes: tuple[AdvertisedCrash, ...] = ()
     answered: tuple[Fingerprint, ...] = ()
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[AdvertisedLimit, ...] = ()
     demands: tuple[ServiceDemand, ...] = ()
 
 
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True)
-class PeerBook:
+class PeerTable:
     """The newest state received from each peer, and the addresses to send to.
 
     `own` is this daemon's address, which is not among the others.
@@ -149,7 +149,7 @@
     received: Mapping[str, ReceivedState] = field(default_factory=dict)
     known_addresses: frozenset[Address] = frozenset()
 
-    def hear(self, state: PeerState, now: timedelta) -> Self:
+    def merge_advertised(self, state: PeerState, now: timedelta) -> Self:
         """Return the table updated with a state that a peer sent.
 
         Args:
@@ -242,7 +242,7 @@
     can_plan: bool
 
 
-def leader(peer_table: PeerBook, own: PlannerCandidate, now: timedelta) -> str:
+def leader(peer_table: PeerTable, own: PlannerCandidate, now: timedelta) -> str:
     """Return the name of the daemon that plans the expert maps.
 
     The planner should run on a powerful host: a plan for hundreds of ranks
@@ -272,7 +272,7 @@
 
 
 def demands_of(
-    peer_table: PeerBook, own: ServiceDemand, now: timedelta
+    peer_table: PeerTable, own: ServiceDemand, now: timedelta
 ) -> dict[str, float]:
     """Return the request rate of each daemon for a service.
 
--- a/linnetwind/peer_wire.py
+++ b/linnetwind/peer_wire.py
@@ -24,11 +24,15 @@
 
 from linnetwind.address import Address
 from linnetwind.codec import Codec
-from linnetwind.crash_book import ToldCrash
+from linnetwind.crash_history import AdvertisedCrash
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import Life, LifeTag, tag_life
-from linnetwind.peer_book import GroupBrief, PeerState, StreamLoad
-from linnetwind.upstream_limits import ServiceDemand, ToldLimit
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    IncarnationTag,
+    tag_incarnation,
+)
+from linnetwind.peer_table import GroupSummary, PeerState, StreamLoad
+from linnetwind.upstream_limits import ServiceDemand, AdvertisedLimit
 
 _TAG_BYTES = 4
 # Raised for truncated bytes, and for a tag without its count.
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _WireSummary:
-    """`GroupBrief` with packed tags in place of incarnations.
+    """`GroupSummary` with packed tags in place of incarnations.
 
     `roster` is a checksum of the members, `members` holds their tags, or is
     empty in a state that is not full.
@@ -82,9 +86,9 @@
     stopping_ms: int
     site: str
     power: int
-    crashes: tuple[ToldCrash, ...] = ()
+    crashes: tuple[AdvertisedCrash, ...] = ()
     answered: tuple[Fingerprint, ...] = ()
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[AdvertisedLimit, ...] = ()
     demands: tuple[ServiceDemand, ...] = ()
 
 
@@ -104,12 +108,12 @@
 )
 
 
-def pack_state(state: PeerState, *, whole: bool) -> bytes:
+def pack_state(state: PeerState, *, full: bool) -> bytes:
     """Encode a state.
 
     Args:
       state: The state.
-      whole: Whether the state is full, with addresses, ranks and crashes.
+      full: Whether the state is full, with addresses, ranks and crashes.
 
     Returns:
       The bytes.
@@ -117,16 +121,15 @@
     running = [
         word
         for life, count in state.running.items()
-        for word in (tag_life(life), count)
+        for word in (tag_incarnation(life), count)
     ]
     message = _WireState(
         **_copy_fields(state, _SAME_IN_STATES),
         running=_pack(running),
         **{
-            name: getattr(state, name) if whole else ()
-            for name in _ONLY_IN_FULL
+            name: getattr(state, name) if full else () for name in _ONLY_IN_FULL
         },
-        groups=tuple(_pack_summary(each, whole) for each in state.groups),
+        groups=tuple(_pack_summary(each, full) for each in state.groups),
     )
     return _CODEC.encode(message)
 
@@ -139,7 +142,9 @@
         self._rosters: dict[tuple[str, str], bytes] = {}
 
     def read(
-        self, content: bytes, lives: Mapping[LifeTag, Life]
+        self,
+        content: bytes,
+        lives: Mapping[IncarnationTag, UpstreamIncarnation],
     ) -> PeerState | None:
         """Decode the state in a datagram.
 
@@ -161,7 +166,9 @@
             return None
 
     def _read(
-        self, message: _WireState, lives: Mapping[LifeTag, Life]
+        self,
+        message: _WireState,
+        lives: Mapping[IncarnationTag, UpstreamIncarnation],
     ) -> PeerState:
         words = iter(_unpack(message.running))
         running = {
@@ -178,15 +185,17 @@
         )
 
     def _read_summary(
-        self, summary: _WireSummary, lives: Mapping[LifeTag, Life]
-    ) -> GroupBrief | None:
+        self,
+        summary: _WireSummary,
+        lives: Mapping[IncarnationTag, UpstreamIncarnation],
+    ) -> GroupSummary | None:
         key = (summary.service, summary.group)
         if summary.members:
             self._rosters[key] = summary.members
         roster = self._rosters.get(key, b'')
         if zlib.crc32(roster) != summary.roster:
             return None
-        return GroupBrief(
+        return GroupSummary(
             **_copy_fields(summary, _SAME_IN_SUMMARIES),
             members=_known_incarnations(_unpack(roster), lives),
             slow=_known_incarnations(_unpack(summary.slow), lives),
@@ -228,13 +237,13 @@
         return full
 
 
-def _pack_summary(summary: GroupBrief, full: bool) -> _WireSummary:
-    members = _pack([tag_life(each) for each in summary.members])
+def _pack_summary(summary: GroupSummary, full: bool) -> _WireSummary:
+    members = _pack([tag_incarnation(each) for each in summary.members])
     return _WireSummary(
         **_copy_fields(summary, _SAME_IN_SUMMARIES),
         roster=zlib.crc32(members),
         members=members if full else b'',
-        slow=_pack([tag_life(each) for each in summary.slow]),
+        slow=_pack([tag_incarnation(each) for each in summary.slow]),
     )
 
 
@@ -252,6 +261,6 @@
 
 
 def _known_incarnations(
-    tags: Iterable[int], lives: Mapping[LifeTag, Life]
-) -> tuple[Life, ...]:
+    tags: Iterable[int], lives: Mapping[IncarnationTag, UpstreamIncarnation]
+) -> tuple[UpstreamIncarnation, ...]:
     return tuple(lives[tag] for tag in tags if tag in lives)
--- a/linnetwind/peer_wire_test.py
+++ b/linnetwind/peer_wire_test.py
@@ -9,25 +9,32 @@
 from hypothesis import strategies as st
 
 from linnetwind.address import Address
-from linnetwind.crash_book import ToldCrash
+from linnetwind.crash_history import AdvertisedCrash
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.lives import Life, LifeTag, tag_life
-from linnetwind.peer_book import (
-    GroupBrief,
-    PassPart,
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    IncarnationTag,
+    tag_incarnation,
+)
+from linnetwind.peer_table import (
+    GroupSummary,
+    PassTimePerStream,
     PeerState,
     StreamLoad,
 )
 from linnetwind.peer_wire import FullStateSchedule, StateReader, pack_state
-from linnetwind.upstream_limits import ServiceDemand, ToldLimit
+from linnetwind.upstream_limits import ServiceDemand, AdvertisedLimit
 
 SECOND = timedelta(seconds=1)
-RANKS = [Life(f'i-{number:010x}#{17000 + number}') for number in range(192)]
-KNOWN = {tag_life(life): life for life in RANKS}
-SUMMARY = GroupBrief(
+RANKS = [
+    UpstreamIncarnation(f'i-{number:010x}#{17000 + number}')
+    for number in range(192)
+]
+KNOWN = {tag_incarnation(life): life for life in RANKS}
+SUMMARY = GroupSummary(
     'model', 'g', 3, True, 1.5, 0, tuple(RANKS), tuple(RANKS[5:7])
 )
-LOAD = StreamLoad('model', 4, 12.5, (PassPart('g', 1.25, 80),))
+LOAD = StreamLoad('model', 4, 12.5, (PassTimePerStream('g', 1.25, 80),))
 
 
 def _state(**changes):
@@ -53,60 +60,62 @@
 
 def test_a_full_state_is_decoded_as_it_was_encoded():
     state = _state()
-    content = pack_state(state, whole=True)
+    content = pack_state(state, full=True)
     assert StateReader().read(content, KNOWN) == state
 
 
 def test_crashes_are_part_of_full_states_only():
     # New crashes make the next states full, and each fourth state is full and
     # advertises the quarantines to daemons that start later.
-    crash = ToldCrash(Fingerprint('9f2c51d7a6b4e803'), LifeTag(7), 40, 2)
+    crash = AdvertisedCrash(
+        Fingerprint('9f2c51d7a6b4e803'), IncarnationTag(7), 40, 2
+    )
     state = _state(crashes=(crash,), answered=(Fingerprint('ab'),))
-    whole = pack_state(state, whole=True)
-    assert StateReader().read(whole, KNOWN) == state
-    content = pack_state(_state(crashes=(crash,), groups=()), whole=False)
+    full = pack_state(state, full=True)
+    assert StateReader().read(full, KNOWN) == state
+    content = pack_state(_state(crashes=(crash,), groups=()), full=False)
     assert len(content) < 1_200
     assert StateReader().read(content, KNOWN).crashes == ()
 
 
 def test_a_state_of_the_previous_version_is_decoded():
     # While a new version is rolled out, both run side by side.
-    tag, *values = cbor2.loads(pack_state(_state(), whole=True))
+    tag, *values = cbor2.loads(pack_state(_state(), full=True))
     before = cbor2.dumps([tag, *values[:-4]])
     assert StateReader().read(before, KNOWN) == _state()
 
 
 def test_limits_are_part_of_every_state():
-    limit = ToldLimit(LifeTag(7), 2.5, 40)
-    removed_limit = ToldLimit(LifeTag(8), None, 40)
+    limit = AdvertisedLimit(IncarnationTag(7), 2.5, 40)
+    removed_limit = AdvertisedLimit(IncarnationTag(8), None, 40)
     demand = ServiceDemand('model', 12.25)
     state = _state(limits=(limit, removed_limit), demands=(demand,), members=())
-    StateReader().read(pack_state(_state(), whole=True), KNOWN)
-    decoded = StateReader().read(pack_state(state, whole=False), KNOWN)
+    StateReader().read(pack_state(_state(), full=True), KNOWN)
+    decoded = StateReader().read(pack_state(state, full=False), KNOWN)
     assert decoded.limits == (limit, removed_limit)
     assert decoded.demands == (demand,)
 
 
 @pytest.mark.parametrize('per_s', [-1.0, float('nan'), 1e300])
 def test_limits_out_of_range_are_no_state(per_s):
-    state = _state(limits=(ToldLimit(LifeTag(7), per_s, 40),))
-    whole = pack_state(state, whole=True)
-    assert StateReader().read(whole, KNOWN) is None
+    state = _state(limits=(AdvertisedLimit(IncarnationTag(7), per_s, 40),))
+    full = pack_state(state, full=True)
+    assert StateReader().read(full, KNOWN) is None
 
 
 @pytest.mark.parametrize('age', [-1, 10**18])
 def test_ages_out_of_range_are_no_state(age):
     # An age beyond the range of `timedelta` raised an exception in the thread
     # that receives states.
-    crash = ToldCrash(Fingerprint('ab'), LifeTag(7), age, 2)
-    whole = pack_state(_state(crashes=(crash,)), whole=True)
-    assert StateReader().read(whole, KNOWN) is None
+    crash = AdvertisedCrash(Fingerprint('ab'), IncarnationTag(7), age, 2)
+    full = pack_state(_state(crashes=(crash,)), full=True)
+    assert StateReader().read(full, KNOWN) is None
 
 
 def test_ranks_are_remembered_while_states_are_not_full():
     reader = StateReader()
-    reader.read(pack_state(_state(), whole=True), KNOWN)
-    decoded = reader.read(pack_state(_state(counter=8), whole=False), KNOWN)
+    reader.read(pack_state(_state(), full=True), KNOWN)
+    decoded = reader.read(pack_state(_state(counter=8), full=False), KNOWN)
     assert decoded == _state(counter=8, members=())
 
 
@@ -114,35 +123,35 @@
     # A daemon has just started, or lost the packet with the ranks. If the group
     # had no ranks, no rank would be eligible for a stream.
     reader = StateReader()
-    decoded = reader.read(pack_state(_state(), whole=False), KNOWN)
+    decoded = reader.read(pack_state(_state(), full=False), KNOWN)
     assert decoded == _state(members=(), groups=())
     changed = replace(SUMMARY, members=tuple(RANKS[1:]))
-    reader.read(pack_state(_state(), whole=True), KNOWN)
-    content = pack_state(_state(groups=(changed,)), whole=False)
+    reader.read(pack_state(_state(), full=True), KNOWN)
+    content = pack_state(_state(groups=(changed,)), full=False)
     assert reader.read(content, KNOWN).groups == ()
 
 
 def test_unknown_incarnations_are_left_out():
     # The list of upstreams is behind that of the peer. An upstream that is not
     # listed gets no requests from this daemon.
-    fewer = {tag_life(life): life for life in RANKS[:100]}
-    decoded = StateReader().read(pack_state(_state(), whole=True), fewer)
+    fewer = {tag_incarnation(life): life for life in RANKS[:100]}
+    decoded = StateReader().read(pack_state(_state(), full=True), fewer)
     assert decoded.running == dict.fromkeys(RANKS[:100:4], 1)
     assert decoded.groups[0].members == tuple(RANKS[:100])
 
 
 def test_ranks_that_become_known_need_not_be_sent_again():
     reader = StateReader()
-    reader.read(pack_state(_state(), whole=True), {})
-    decoded = reader.read(pack_state(_state(), whole=False), KNOWN)
+    reader.read(pack_state(_state(), full=True), {})
+    decoded = reader.read(pack_state(_state(), full=False), KNOWN)
     assert decoded.groups == (SUMMARY,)
 
 
 def test_a_state_that_is_not_full_fits_into_one_packet():
     # If 2.5 % of the packets are lost, a state of six packets is lost in one
     # case of seven, and three lost states in a row make a peer time out.
-    planner = pack_state(_state(), whole=False)
-    others = pack_state(_state(groups=()), whole=False)
+    planner = pack_state(_state(), full=False)
+    others = pack_state(_state(groups=()), full=False)
     assert len(planner) < 1_200
     assert len(others) < 1_200
 
@@ -153,15 +162,15 @@
 
 
 def test_truncated_bytes_are_no_state():
-    whole = pack_state(_state(groups=(), running={}), whole=False)
-    assert StateReader().read(whole[:-3], KNOWN) is None
+    full = pack_state(_state(groups=(), running={}), full=False)
+    assert StateReader().read(full[:-3], KNOWN) is None
 
 
 @pytest.mark.parametrize('running', [b'12345678' * 2 + b'1234', b'123'])
 def test_tags_without_their_counts_are_no_state(running):
     # A datagram from elsewhere may decode by chance. Such a datagram raised an
     # exception in the thread that receives states, with a traceback in the log.
-    plain = pack_state(_state(groups=(), running={}), whole=False)
+    plain = pack_state(_state(groups=(), running={}), full=False)
     tag, *values = cbor2.loads(plain)
     values[7] = running
     assert StateReader().read(cbor2.dumps([tag, *values]), KNOWN) is None
--- a/linnetwind/placement_level_test.py
+++ b/linnetwind/placement_level_layer_test.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from linnetwind.placement import even_map, no_pause, rank_loads
-from linnetwind.placement_level import LevelTask, level_layer
+from linnetwind.placement_level_layer import LevelTask, level_layer
 
 
 def _tokens(seed, experts, power):
--- a/linnetwind/placement_levels.py
+++ b/linnetwind/placement_level_plan.py
@@ -10,7 +10,11 @@
 from dataclasses import dataclass, replace
 
 from linnetwind.placement import no_pause, rank_loads, skew
-from linnetwind.placement_level import LevelledLayer, LevelTask, level_layer
+from linnetwind.placement_level_layer import (
+    LevelledLayer,
+    LevelTask,
+    level_layer,
+)
 from linnetwind.placement_types import (
     ExpertMap,
     GroupLoad,
--- a/linnetwind/placement_levels_test.py
+++ b/linnetwind/placement_level_plan_test.py
@@ -5,12 +5,12 @@
 import pytest
 
 from linnetwind.placement import even_map, moves_between, plan_moves, skew
-from linnetwind.placement_levels import (
+from linnetwind.placement_level_plan import (
     net_benefit,
     plan_levels,
     reaches_copy_limit,
 )
-from linnetwind.placement_pack import full_map
+from linnetwind.placement_pack import greedy_map
 from linnetwind.placement_types import (
     CopyLimits,
     GroupLoad,
@@ -54,7 +54,7 @@
     prices = _prices(experts, per_rank=20, per_layer=2)
     for _plan in range(2):
         current = plan_levels(current, load, prices).target
-    assert skew(current, load) < 1.1 * skew(full_map(current, load), load)
+    assert skew(current, load) < 1.1 * skew(greedy_map(current, load), load)
 
 
 def test_a_slow_rank_gets_less_load():
--- a/linnetwind/placement_pack.py
+++ b/linnetwind/placement_pack.py
@@ -15,7 +15,7 @@
 from linnetwind.placement_types import ExpertMap, GroupLoad, LayerMap
 
 
-def full_map(current: ExpertMap, load: GroupLoad) -> ExpertMap:
+def greedy_map(current: ExpertMap, load: GroupLoad) -> ExpertMap:
     """Compute a map from scratch: replicate the hottest, pack heaviest first.
 
     This greedy method of published balancers is the baseline for plans, and the
--- a/linnetwind/placement_test.py
+++ b/linnetwind/placement_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linnetwind.expert_load import LoadEstimate, take_counts
+from linnetwind.expert_load import LoadEstimate, update_load_estimate
 from linnetwind.placement import (
     even_map,
     moves_between,
@@ -13,7 +13,7 @@
     skew,
 )
 from linnetwind.placement_layer import LayerState
-from linnetwind.placement_pack import full_map, repack
+from linnetwind.placement_pack import greedy_map, repack
 from linnetwind.placement_types import GroupLoad, PlacementPrices
 
 CHEAP = PlacementPrices(120, 4, 1, 0.02, 64)
@@ -84,7 +84,7 @@
 def test_repacked_layer_is_a_permutation_of_the_packed_one():
     load = hot_load(2)
     layer = even_map(8, 3, 1, 16).layers[0]
-    packed = full_map(even_map(8, 3, 2, 16), load).layers[0]
+    packed = greedy_map(even_map(8, 3, 2, 16), load).layers[0]
     repacked = repack(layer, 3, load.tokens[0], load.slowness)
     assert sorted(repacked) == sorted(packed)
     assert max(rank_loads(repacked, 3, load.tokens[0], load.slowness)) == (
@@ -109,7 +109,7 @@
 def test_full_map_is_at_least_as_balanced():
     load = hot_load(1)
     current = even_map(8, 3, 2, 16)
-    best = full_map(current, load)
+    best = greedy_map(current, load)
     assert skew(best, load) < skew(current, load)
     assert moves_between(current, best) > len(
         plan_moves(current, load, CHEAP).moves
@@ -118,17 +118,19 @@
 
 def test_missing_counts_keep_the_previous_load():
     # The counts of a layer are late: it must not be treated as idle.
-    first = take_counts(LoadEstimate(), [[1.0, 3.0], [2.0, 2.0]], [1.0])
-    second = take_counts(first, [[0.0, 0.0], [4.0, 0.0]], [1.0])
+    first = update_load_estimate(
+        LoadEstimate(), [[1.0, 3.0], [2.0, 2.0]], [1.0]
+    )
+    second = update_load_estimate(first, [[0.0, 0.0], [4.0, 0.0]], [1.0])
     assert second.load.tokens[0] == (1.0, 3.0)
     assert second.load.tokens[1] == (3.0, 1.0)
 
 
 def test_trust_falls_when_the_mix_changes():
-    steady = take_counts(LoadEstimate(), [[4.0, 0.0]], [1.0])
-    steady = take_counts(steady, [[8.0, 0.0]], [1.0])
+    steady = update_load_estimate(LoadEstimate(), [[4.0, 0.0]], [1.0])
+    steady = update_load_estimate(steady, [[8.0, 0.0]], [1.0])
     assert steady.trust == 1
-    turned = take_counts(steady, [[0.0, 8.0]], [1.0])
+    turned = update_load_estimate(steady, [[0.0, 8.0]], [1.0])
     assert turned.trust == 0.5
 
 
--- a/linnetwind/planned_group.py
+++ b/linnetwind/planned_group.py
@@ -5,13 +5,13 @@
 from datetime import timedelta
 
 from linnetwind.expert_demand import ExpertDemand
-from linnetwind.group_looks import ObservedRank, held_maps
-from linnetwind.lives import Life
-from linnetwind.pass_meter import USUAL_SKEW
-from linnetwind.planner_rest import PlannerRest
+from linnetwind.group_observations import ObservedRank, held_maps
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.pass_time_estimator import DEFAULT_SKEW
+from linnetwind.planner_backoff import PlannerBackoff
 from linnetwind.rank_link import GroupLinks
 from linnetwind.rank_types import RankMaps, RankReport
-from linnetwind.rollout import MapWish, is_whole
+from linnetwind.rollout import TargetMap, is_whole
 
 Reports = dict[int, RankReport]
 
@@ -45,18 +45,18 @@
     links: GroupLinks
     whole_at: timedelta
     ranks: dict[int, ObservedRank] = field(default_factory=dict)
-    incarnations: dict[int, Life] = field(default_factory=dict)
+    incarnations: dict[int, UpstreamIncarnation] = field(default_factory=dict)
     demand: ExpertDemand = field(default_factory=ExpertDemand)
-    wish: MapWish | None = None
+    target: TargetMap | None = None
     reports: Reports = field(default_factory=dict)
     maps: RankMaps | None = None
     maps_version: tuple[int, int] | None = None
     unanswered_at: timedelta | None = None
     stage: str = ''
     stage_since: timedelta = timedelta()
-    was: tuple[int, bool] | None = None
-    skew: float = USUAL_SKEW
-    rest: PlannerRest = PlannerRest()
+    logged_state: tuple[int, bool] | None = None
+    skew: float = DEFAULT_SKEW
+    backoff: PlannerBackoff = PlannerBackoff()
     settled: float = 0
     settled_at: timedelta = timedelta()
     step: tuple[int, int] = (0, 0)
@@ -89,7 +89,7 @@
     return not groups or any(each.maps is None for each in groups)
 
 
-def take_groups(
+def update_groups(
     service: PlannedService,
     observed: Mapping[str, Mapping[int, ObservedRank]],
     now: timedelta,
@@ -108,7 +108,7 @@
             service.groups.pop(group.name)
 
 
-def take_ranks(
+def update_ranks(
     group: PlannedGroup, ranks: dict[int, ObservedRank], now: timedelta
 ) -> None:
     """Update a group with the replies of its ranks.
@@ -149,19 +149,19 @@
         group.incarnations.get(rank, life) != life
         for rank, life in incarnations.items()
     ):
-        forget_maps(group)
+        discard_maps(group)
     group.incarnations.update(incarnations)
 
 
-def forget_maps(group: PlannedGroup) -> None:
+def discard_maps(group: PlannedGroup) -> None:
     """Discard the map in use and the target map.
 
     Args:
       group: The group.
     """
-    group.wish = None
+    group.target = None
     group.maps = None
-    group.skew = USUAL_SKEW
+    group.skew = DEFAULT_SKEW
     group.settled = 0
 
 
@@ -180,8 +180,8 @@
     in_use = (reports[0].epoch, min(versions))
     if group.maps_version == in_use and group.maps is not None:
         return
-    if group.wish is not None and group.wish.version == in_use[1]:
-        group.maps = group.wish.maps
+    if group.target is not None and group.target.version == in_use[1]:
+        group.maps = group.target.maps
     else:
         group.maps = held_maps(group.ranks, *in_use)
     group.maps_version = in_use
--- a/linnetwind/planner_rest.py
+++ b/linnetwind/planner_backoff.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannerRest:
+class PlannerBackoff:
     """The state of a planner's backoff.
 
     The planner makes no new map until the monotonic time `until`. `bound` is
@@ -31,9 +31,9 @@
     bound: timedelta = FIRST_BACKOFF_BOUND
 
 
-def rest_when_overtaken(
-    previous: PlannerRest, now: timedelta, chance: float
-) -> PlannerRest:
+def back_off_when_superseded(
+    previous: PlannerBackoff, now: timedelta, chance: float
+) -> PlannerBackoff:
     """Back off after the planner's map was superseded.
 
     Args:
@@ -46,4 +46,4 @@
       The new backoff.
     """
     next_bound = min(previous.bound * _GROWTH_FACTOR, MAX_BACKOFF_BOUND)
-    return PlannerRest(now + previous.bound * chance, next_bound)
+    return PlannerBackoff(now + previous.bound * chance, next_bound)
--- a/linnetwind/planner_rest_test.py
+++ b/linnetwind/planner_backoff_test.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from linnetwind.planner_rest import (
+from linnetwind.planner_backoff import (
     FIRST_BACKOFF_BOUND,
     MAX_BACKOFF_BOUND,
-    PlannerRest,
-    rest_when_overtaken,
+    PlannerBackoff,
+    back_off_when_superseded,
 )
 
 ROLLOUT = timedelta(seconds=0.5)
@@ -26,7 +26,7 @@
             return done
         # The map of the second planner supersedes that of the first, which
         # notices it when its experts are copied.
-        backoffs[first] = rest_when_overtaken(
+        backoffs[first] = back_off_when_superseded(
             backoffs[first], done, chance.random()
         )
         starts[first] = max(done, backoffs[first].until)
@@ -38,7 +38,7 @@
     # more.
     chance = random.Random(1)
     times = [
-        _first_map([PlannerRest()] * planners, chance) for _run in range(500)
+        _first_map([PlannerBackoff()] * planners, chance) for _run in range(500)
     ]
     times.sort()
     assert times[len(times) // 2] < timedelta(seconds=5)
@@ -46,10 +46,10 @@
 
 
 def test_backoffs_grow_to_their_limit():
-    backoff = PlannerRest()
+    backoff = PlannerBackoff()
     lengths = []
     for _attempt in range(5):
-        backoff = rest_when_overtaken(backoff, timedelta(), 1)
+        backoff = back_off_when_superseded(backoff, timedelta(), 1)
         lengths.append(backoff.until)
     assert lengths[0] == FIRST_BACKOFF_BOUND
     assert lengths == sorted(lengths)
--- a/linnetwind/platform/entry.py
+++ b/linnetwind/platform/entry.py
@@ -13,7 +13,7 @@
 from linnetwind.platform.store_client import StoreClient
 from linnetwind.platform.table_format import CONFIGURATION_KEY, decode_table
 from linnetwind.platform.upstream_format import decode_upstream
-from linnetwind.step_log import stdout_log
+from linnetwind.event_log import stdout_log
 
 
 def run_entry(metrics_port: int, front: socket.socket) -> None:
@@ -53,6 +53,6 @@
         mesh=Address(settings.ip, settings.first_port),
         seeds=settings.seeds,
         stop_within=settings.stop_within,
-        repeats=settings.repeats,
+        retry_terms=settings.retry_terms,
         power=settings.power,
     )
--- a/linnetwind/platform/gateway_feeds_test.py
+++ b/linnetwind/platform/gateway_feeds_test.py
@@ -25,7 +25,7 @@
     Topic,
     Trimmed,
 )
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from standins.bad_messages import near_misses
 from standins.gateway_fixtures import make_peer
 from standins.gateway_harness import ListLog
@@ -103,7 +103,7 @@
     def __init__(self):
         self.work = {}
 
-    def for_ever(self, work, name):
+    def repeat_forever(self, work, name):
         self.work[name] = work
 
 
@@ -112,7 +112,7 @@
 
     def __init__(self, store, peer_store=None):
         clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-        terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+        terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
         self.log = ListLog()
         self.state = GatewayState(clock, Address('127.0.0.1', 1), terms)
         ports = FeedPorts(
@@ -150,7 +150,7 @@
     catch_up()
     assert reader.state.table.version == 1
     for counter in (1, 2):
-        reader.state.hear(_make_peer_state(2, counter))
+        reader.state.merge_advertised(_make_peer_state(2, counter))
         catch_up()
     assert reader.state.table.version == 2
     # The same version, read from the store later, is not applied again.
--- a/linnetwind/platform/gateway_leaving_test.py
+++ b/linnetwind/platform/gateway_leaving_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from linnetwind.gateway_events import UpstreamLeaves
-from linnetwind.upstream_list import Registered
+from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import make_upstream
 from standins.gateway_requests import FRAGILE, GET, ONCE, STREAM
 from standins.upstream_scripts import answer, stream
@@ -57,7 +57,7 @@
     assert gateway.ask(GET)[0] == 200
     entry = make_upstream('i-0', leaving.port)
     gateway.state.change_upstreams(
-        lambda known: known.take([Registered('i-0', 9, entry)], 10)
+        lambda known: known.fold_records([UpstreamRecord('i-0', 9, entry)], 10)
     )
     assert gateway.ask(GET)[0] == 503
     assert len(leaving.requests) == 1
@@ -68,7 +68,9 @@
     gateway.ask(GET)
     restarted = make_upstream('i-0', leaving.port, born_ms=7)
     gateway.state.change_upstreams(
-        lambda known: known.take([Registered('i-0', 9, restarted)], 10)
+        lambda known: known.fold_records(
+            [UpstreamRecord('i-0', 9, restarted)], 10
+        )
     )
     assert gateway.ask(GET)[0] == 200
 
--- a/linnetwind/platform/headers.py
+++ b/linnetwind/platform/headers.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from linnetwind.call_types import (
-    AnswerFacts,
+    ResponseFacts,
     CallerRequest,
-    CallFacts,
+    RequestFacts,
     Forwarding,
     Headers,
     TokenCounts,
@@ -64,7 +64,7 @@
 class PlatformDialect:
     """Reads and writes the platform's headers."""
 
-    def read_call(self, request: CallerRequest) -> CallFacts:
+    def read_call(self, request: CallerRequest) -> RequestFacts:
         """Read the facts about a request from its target and headers.
 
         Args:
@@ -76,7 +76,7 @@
         by_name = _by_name(request.headers)
         limit_ms = _parse_integer(by_name.get(_TIME_LIMIT))
         path = request.target.partition(b'?')[0]
-        return CallFacts(
+        return RequestFacts(
             call_id=_decode_text(by_name.get(_CALL_ID)),
             host=_decode_text(by_name.get(b'host')),
             path=path.decode('latin-1'),
@@ -119,7 +119,7 @@
             forwarded.append((b'Last-Event-Id', last_event))
         return tuple(forwarded)
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
         """Read the facts about a response from its status and headers.
 
         Args:
@@ -131,18 +131,18 @@
         """
         by_name = _by_name(headers)
         call_id = by_name.get(_CALL_ID)
-        return AnswerFacts(
+        return ResponseFacts(
             signed=_SEAL in by_name,
             call_id=None if call_id is None else _decode_text(call_id),
             not_executed=_NOT_EXECUTED in by_name,
             misdirected=status == _MISDIRECTED_REQUEST,
             instance=_decode_text(by_name.get(_RESPONDING_INSTANCE)) or None,
-            most_per_s=_parse_decimal(_decode_text(by_name.get(_MAX_REQUESTS))),
+            max_per_s=_parse_decimal(_decode_text(by_name.get(_MAX_REQUESTS))),
             backoff=_parse_backoff(status, _decode_text(by_name.get(_BACKOFF))),
             leaving=_decode_text(by_name.get(_LEAVING)) == _LEAVING_VALUE,
         )
 
-    def answer_headers(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Return the headers of a response that are sent to the caller.
 
         Args:
--- a/linnetwind/platform/rank_client.py
+++ b/linnetwind/platform/rank_client.py
@@ -29,7 +29,7 @@
     RankOrder,
     RankReport,
 )
-from linnetwind.step_log import StepLog
+from linnetwind.event_log import EventLog
 
 # A worker responds within a few milliseconds. While a pass is held, an order
 # without a response stalls the whole group, so the timeouts are short. The one
@@ -46,7 +46,7 @@
 _RESULTS = MappingProxyType(
     {
         _OK: OrderResult.DONE,
-        _ACCEPTED: OrderResult.BEGUN,
+        _ACCEPTED: OrderResult.STARTED,
         **dict.fromkeys(_REFUSALS, OrderResult.REFUSED),
     }
 )
@@ -57,7 +57,7 @@
     """A connection to a worker, to be used by one thread at a time."""
 
     def __init__(
-        self, address: Address, timeout: timedelta, log: StepLog
+        self, address: Address, timeout: timedelta, log: EventLog
     ) -> None:
         """Prepare the connection; the first call opens it.
 
--- a/linnetwind/platform/rank_client_test.py
+++ b/linnetwind/platform/rank_client_test.py
@@ -189,7 +189,7 @@
     ('status', 'result'),
     [
         (200, OrderResult.DONE),
-        (202, OrderResult.BEGUN),
+        (202, OrderResult.STARTED),
         (400, OrderResult.REFUSED),
         (409, OrderResult.REFUSED),
         (412, OrderResult.REFUSED),
--- a/linnetwind/platform/settings.py
+++ b/linnetwind/platform/settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from linnetwind.address import Address, parse_address
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 
 _SETTINGS_VARIABLE = 'LINNETWIND_CONFIG'
 
@@ -36,7 +36,7 @@
     service: str | None
     stop_within: timedelta
     drain_within: timedelta
-    repeats: BudgetTerms
+    retry_terms: RetryBudgetTerms
     power: int
 
 
@@ -82,7 +82,7 @@
         service=fields.get('service'),
         stop_within=timedelta(seconds=bounds['graceS']),
         drain_within=timedelta(milliseconds=bounds['drainMs']),
-        repeats=BudgetTerms(
+        retry_terms=RetryBudgetTerms(
             timedelta(seconds=bounds['retryWindowS']),
             float(bounds['retryRatio']),
             float(bounds['retryAllowance']),
--- a/linnetwind/platform/table_format.py
+++ b/linnetwind/platform/table_format.py
@@ -20,7 +20,7 @@
 )
 from linnetwind.routes import (
     CallerLimits,
-    EngineFigures,
+    EngineProfile,
     Route,
     RoutedService,
     RouteKind,
@@ -217,11 +217,11 @@
     )
 
 
-def _to_engine(engine: _Engine) -> EngineFigures:
+def _to_engine(engine: _Engine) -> EngineProfile:
     megabytes = engine.expert_mb or 0
     expert_bits = megabytes * _BITS_PER_MEGABYTE
     bits_per_ms = (engine.link_mbps or 1) * _BITS_PER_MEGABIT_MS
-    return EngineFigures(
+    return EngineProfile(
         slots=engine.slots,
         memory_tokens=engine.memory_tokens,
         steps_per_pass=engine.steps_per_pass or 1,
--- a/linnetwind/platform/upstream_format.py
+++ b/linnetwind/platform/upstream_format.py
@@ -20,7 +20,7 @@
 )
 from linnetwind.platform.rank_format import GroupMembership
 from linnetwind.record_store import KeyedRecord
-from linnetwind.upstream_list import Registered, Upstream
+from linnetwind.upstream_list import UpstreamRecord, Upstream
 
 _DRAINING_STATE = 'draining'
 # Far more concurrent requests than any worker runs. An upstream that states a
@@ -56,7 +56,7 @@
 _DECODER = Decoder(_Entry)
 
 
-def decode_upstream(record: KeyedRecord) -> Registered | BadFormat:
+def decode_upstream(record: KeyedRecord) -> UpstreamRecord | BadFormat:
     """Decode an upstream's entry.
 
     Args:
@@ -67,7 +67,7 @@
       its key, or a description of the first error.
     """
     if not record.content:
-        return Registered(record.key, record.offset, None)
+        return UpstreamRecord(record.key, record.offset, None)
     if _INSTANCE_NAME.fullmatch(record.key) is None:
         return BadFormat('key', 'is not 1 to 255 printable ASCII characters')
     entry = decode_json(record.content, _DECODER)
@@ -76,7 +76,7 @@
     upstream = _to_upstream(record.key, entry)
     if isinstance(upstream, BadFormat):
         return upstream
-    return Registered(record.key, record.offset, upstream)
+    return UpstreamRecord(record.key, record.offset, upstream)
 
 
 def _to_upstream(instance: str, entry: _Entry) -> Upstream | BadFormat:
--- a/linnetwind/platform/upstream_format_test.py
+++ b/linnetwind/platform/upstream_format_test.py
@@ -17,7 +17,7 @@
 from linnetwind.bad_format import BadFormat
 from linnetwind.platform.upstream_format import decode_upstream
 from linnetwind.record_store import KeyedRecord
-from linnetwind.upstream_list import Registered, Upstream
+from linnetwind.upstream_list import UpstreamRecord, Upstream
 from standins.bad_messages import BORN, MISSING, near_misses, plain_json
 
 ENTRY = {
@@ -42,7 +42,7 @@
 
 
 def test_a_good_entry_is_an_upstream():
-    assert _decoded(ENTRY) == Registered(
+    assert _decoded(ENTRY) == UpstreamRecord(
         'i-1',
         7,
         Upstream(
@@ -75,7 +75,7 @@
 )
 def test_an_entry_with_other_valid_fields_is_an_upstream(field, content):
     found = _decoded({**ENTRY, field: content})
-    assert isinstance(found, Registered)
+    assert isinstance(found, UpstreamRecord)
     assert found.upstream.draining == (content == 'draining')
     assert found.upstream.born_ms == (content if field == 'born' else None)
 
@@ -130,7 +130,7 @@
     if content is MISSING:
         fields.pop(field)
     found = _decoded(fields)
-    assert not isinstance(found, Registered)
+    assert not isinstance(found, UpstreamRecord)
     assert found.field == field
     assert found.reason
 
@@ -162,7 +162,7 @@
 )
 def test_undecodable_bytes_are_an_error_and_not_a_crash(content):
     found = _decoded(content)
-    assert not isinstance(found, Registered)
+    assert not isinstance(found, UpstreamRecord)
     assert found.reason
     assert len(found.reason) <= 200
 
@@ -173,7 +173,7 @@
     # inject another header, and other characters cannot be sent in a header.
     assert _decoded(ENTRY, key).field == 'key'
     dropped = decode_upstream(KeyedRecord(key, 7, None))
-    assert dropped == Registered(key, 7, None)
+    assert dropped == UpstreamRecord(key, 7, None)
 
 
 @BOUNDED
@@ -191,5 +191,5 @@
 @given(near_misses(ENTRY))
 def test_an_entry_that_is_nearly_good_is_an_error(fields):
     found = _decoded(fields)
-    assert not isinstance(found, Registered)
+    assert not isinstance(found, UpstreamRecord)
     assert found.field.partition('.')[0].partition('[')[0] in ENTRY
--- a/linnetwind/platform_clients.py
+++ b/linnetwind/platform_clients.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.follower import Follower
+from linnetwind.config_follower import ConfigFollower
 from linnetwind.hosts_http import HttpHosts
 from linnetwind.log_http import HttpLog, make_log
 from linnetwind.settings import PlatformSettings
@@ -53,7 +53,7 @@
 
 def make_follower(
     settings: PlatformSettings, clock: Clock, incarnation: str
-) -> Follower:
+) -> ConfigFollower:
     """Build the follower of the configuration stream.
 
     Args:
@@ -64,7 +64,7 @@
     Returns:
       The follower, without a configuration.
     """
-    return Follower(
+    return ConfigFollower(
         make_platform_log(settings),
         clock,
         timedelta(seconds=settings.snapshot_seconds),
--- a/linnetwind/publisher.py
+++ b/linnetwind/publisher.py
@@ -53,7 +53,7 @@
     return read_to_end(log, CONFIG_STREAM, 0).and_then(rebuild)
 
 
-def prepare(
+def prepare_publish(
     deployment: Deployment,
     state: ConfigState,
     based_on: int | None,
--- a/linnetwind/quarantine_keeper.py
+++ b/linnetwind/quarantine_store.py
@@ -15,7 +15,7 @@
 
 from linnetwind.clock import Clock
 from linnetwind.codec import Codec
-from linnetwind.crashes import Crashes
+from linnetwind.crash_tracker import CrashTracker
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.gateway_events import (
     BadRecord,
@@ -23,7 +23,7 @@
     DependencyLost,
     QuarantineRestored,
 )
-from linnetwind.lives import LifeTag
+from linnetwind.upstream_incarnation import IncarnationTag
 from linnetwind.record_follower import RETRY_PAUSE
 from linnetwind.record_store import (
     KeyedRecord,
@@ -31,7 +31,7 @@
     StoreUnavailable,
     Topic,
 )
-from linnetwind.step_log import StepLog
+from linnetwind.event_log import EventLog
 
 # How often a round checks whether the store has lost records and whether
 # quarantines have ended.
@@ -47,23 +47,23 @@
     order of their crashes.
     """
 
-    incarnations: tuple[LifeTag, ...]
+    incarnations: tuple[IncarnationTag, ...]
 
 
 _CODEC = Codec((QuarantineRecord,))
 
 
-class QuarantineKeeper:
+class QuarantineStore:
     """Restores stored quarantines at startup, then stores new ones."""
 
     def __init__(
         self,
         store: RecordStore,
-        crashes: Crashes,
+        crashes: CrashTracker,
         leads: Callable[[], bool],
         era: Callable[[], int],
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
         poll_interval: timedelta = QUARANTINE_POLL_INTERVAL,
     ) -> None:
         """Start before the stored quarantines have been read.
@@ -95,11 +95,11 @@
         self._restored: set[Fingerprint] = set()
 
     @property
-    def has_read(self) -> bool:
+    def has_restored(self) -> bool:
         """Return whether the stored quarantines have been restored."""
         return self._has_restored
 
-    def keep(self, request: Fingerprint) -> None:
+    def persist(self, request: Fingerprint) -> None:
         """Queue a request to be written to the store.
 
         Args:
@@ -108,7 +108,7 @@
         """
         self._queue.put(request)
 
-    def keep_once(self) -> timedelta:
+    def run_round(self) -> timedelta:
         """Run one round: restore, write or delete records.
 
         Waits for up to the poll interval if there is nothing to write.
--- a/linnetwind/quarantine_keeper_test.py
+++ b/linnetwind/quarantine_store_test.py
@@ -5,16 +5,16 @@
 import pytest
 
 from linnetwind.clock import ManualClock
-from linnetwind.crash_book import FIRST_QUARANTINE
-from linnetwind.crashes import Crashes
+from linnetwind.crash_history import FIRST_QUARANTINE
+from linnetwind.crash_tracker import CrashTracker
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.gateway_events import (
     BadRecord,
     DependencyLost,
     QuarantineRestored,
 )
-from linnetwind.lives import Life
-from linnetwind.quarantine_keeper import QuarantineKeeper
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.quarantine_store import QuarantineStore
 from linnetwind.record_store import KeyedRecord, Records, StoreUnavailable
 from standins.gateway_harness import ListLog
 
@@ -62,9 +62,9 @@
     def __init__(self, store, leads=True, poll_seconds=0):
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         self.clock.advance(SECOND)
-        self.crashes = Crashes(self.clock)
+        self.crashes = CrashTracker(self.clock)
         self.log = ListLog()
-        self.keeper = QuarantineKeeper(
+        self.keeper = QuarantineStore(
             store,
             self.crashes,
             lambda: leads,
@@ -77,12 +77,12 @@
     def crash(self, life):
         began = self.clock.elapsed()
         self.clock.advance(SECOND / 100)
-        self.crashes.note(BAD, Life(life), began)
-        self.keeper.keep(BAD)
+        self.crashes.record_crash(BAD, UpstreamIncarnation(life), began)
+        self.keeper.persist(BAD)
 
     def rounds(self, count=3):
         for _round in range(count):
-            self.keeper.keep_once()
+            self.keeper.run_round()
 
 
 @pytest.fixture(name='store')
@@ -138,11 +138,11 @@
     store.is_down = True
     after = _Daemon(store)
     after.rounds()
-    assert not after.keeper.has_read
+    assert not after.keeper.has_restored
     assert len(after.log.of(DependencyLost)) == 1
     store.is_down = False
     after.rounds(1)
-    assert after.keeper.has_read
+    assert after.keeper.has_restored
     assert after.crashes.quarantine(BAD) is not None
 
 
@@ -150,7 +150,7 @@
     store.records = {'x': b'\xff', 'y': b''}
     daemon = _Daemon(store)
     daemon.rounds(1)
-    assert daemon.keeper.has_read
+    assert daemon.keeper.has_restored
     assert [each.key for each in daemon.log.of(BadRecord)] == ['x', 'y']
 
 
--- a/linnetwind/rank_agent.py
+++ b/linnetwind/rank_agent.py
@@ -21,17 +21,17 @@
 from linnetwind.frames import receive_frame, send_frame
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    Look,
-    Obeyed,
+    RankQuery,
+    OrderReply,
     PackedPrepare,
-    Seen,
-    count_lanes,
+    RankSnapshot,
+    make_lane_counts,
     pack_snapshot,
     unpack_order,
 )
-from linnetwind.rank_packing import NotPacked
-from linnetwind.rank_types import CountLanes, RankOrder, RankPort
-from linnetwind.step_log import StepLog
+from linnetwind.rank_packing import UnpackError
+from linnetwind.rank_types import LaneCounts, RankOrder, RankPort
+from linnetwind.event_log import EventLog
 from linnetwind.stop_signals import StopSignals
 
 # There is one planner at a time, or a few while the leader changes.
@@ -51,7 +51,7 @@
         listen: Address,
         open_rank: Callable[[], RankPort],
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
     ) -> None:
         """Open the listening socket.
 
@@ -90,7 +90,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # A closed or broken connection ends the loop. Nothing else in the
         # agent depends on the planner.
-        last_sent: CountLanes | None = None
+        last_sent: LaneCounts | None = None
         with suppress(OSError):
             while not self._stop.is_set():
                 last_sent = _serve_request(sock, rank, last_sent)
@@ -101,19 +101,21 @@
 
 
 def _serve_request(
-    sock: socket.socket, rank: RankPort, last_sent: CountLanes | None
-) -> CountLanes | None:
+    sock: socket.socket, rank: RankPort, last_sent: LaneCounts | None
+) -> LaneCounts | None:
     """Serve one request; return the counts last sent on the connection."""
     match RANK_CODEC.decode(receive_frame(sock)):
-        case Ok(Look(with_counts, with_experts)):
-            counts = count_lanes(rank.counts()) if with_counts else None
+        case Ok(RankQuery(with_counts, with_experts)):
+            counts = make_lane_counts(rank.counts()) if with_counts else None
             experts = rank.experts() if with_experts else None
             reply = pack_snapshot(
-                Seen(rank.report(), counts, experts), last_sent
+                RankSnapshot(rank.report(), counts, experts), last_sent
             )
             last_sent = counts or last_sent
         case Ok(message):
-            reply = Obeyed(rank.order(_unpack_order(message)), rank.report())
+            reply = OrderReply(
+                rank.order(_unpack_order(message)), rank.report()
+            )
         case Err(problem):
             raise ConnectionError(problem.describe())
     send_frame(sock, RANK_CODEC.encode(reply))
@@ -123,5 +125,5 @@
 def _unpack_order(message: RankOrder | PackedPrepare) -> RankOrder:
     try:
         return unpack_order(message)
-    except NotPacked as error:
+    except UnpackError as error:
         raise ConnectionError(str(error)) from error
--- a/linnetwind/rank_crashes.py
+++ b/linnetwind/rank_crashes.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from linnetwind.ages import moment_of
-from linnetwind.crash_book import ToldCrash
+from linnetwind.crash_history import AdvertisedCrash
 from linnetwind.gateway_state import GatewayState
-from linnetwind.lives import tag_life
+from linnetwind.upstream_incarnation import tag_incarnation
 from linnetwind.upstream_list import Upstream
 
 # A crash that a peer advertises at a greater age is ignored: by then the
@@ -32,14 +32,14 @@
     service = None if table is None else table.services.get(upstream.service)
     if service is None or service.engine is None:
         return False
-    if state.room.note_crash(service.name, upstream.life, at):
-        state.room.wake()
+    if state.stream_admission.record_crash(service.name, upstream.life, at):
+        state.stream_admission.wake()
     not_leaving = state.upstreams.usable(service.name, at)
     return any(other.life == upstream.life for other in not_leaving)
 
 
-def hear_rank_crashes(
-    state: GatewayState, crashes: Iterable[ToldCrash], now: timedelta
+def merge_peer_rank_crashes(
+    state: GatewayState, crashes: Iterable[AdvertisedCrash], now: timedelta
 ) -> None:
     """Record the crashes of ranks that a peer advertises.
 
@@ -59,6 +59,6 @@
         upstream = record.upstream
         if upstream is None:
             continue
-        at = crashed_at.get(tag_life(upstream.life))
+        at = crashed_at.get(tag_incarnation(upstream.life))
         if at is not None:
             record_rank_crash(state, upstream, at)
--- a/linnetwind/rank_link.py
+++ b/linnetwind/rank_link.py
@@ -16,20 +16,20 @@
 from linnetwind.address import Address
 from linnetwind.clock import Clock
 from linnetwind.frames import receive_frame, send_frame
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    Look,
-    Obeyed,
+    RankQuery,
+    OrderReply,
     PackedPrepare,
-    PackedSeen,
-    Seen,
+    PackedRankSnapshot,
+    RankSnapshot,
     pack_order,
     unpack_snapshot,
 )
-from linnetwind.rank_packing import NotPacked
+from linnetwind.rank_packing import UnpackError
 from linnetwind.rank_types import (
-    CountLanes,
+    LaneCounts,
     HoldPass,
     RankOrder,
     RankPort,
@@ -49,7 +49,7 @@
 # pool starts threads only as they are needed.
 _MAX_THREADS = 64
 
-_AgentRequest = Look | RankOrder | PackedPrepare
+_AgentRequest = RankQuery | RankOrder | PackedPrepare
 
 
 class RankLink:
@@ -67,18 +67,18 @@
         self._engine = engine
         self._clock = clock
         self._sock: socket.socket | None = None
-        self._counts: CountLanes | None = None
+        self._counts: LaneCounts | None = None
         self._agent_retry_at = timedelta()
 
-    def look(self, query: Look) -> Seen:
+    def query_state(self, query: RankQuery) -> RankSnapshot:
         """Return the rank's state, with its counts if the agent replies."""
         reply = self._call_agent(query)
-        if isinstance(reply, Seen) and reply.report is not None:
+        if isinstance(reply, RankSnapshot) and reply.report is not None:
             return reply
         experts = self._engine.experts() if query.with_experts else None
-        return Seen(self._engine.report(), None, experts)
+        return RankSnapshot(self._engine.report(), None, experts)
 
-    def command(self, order: RankOrder) -> Obeyed:
+    def command(self, order: RankOrder) -> OrderReply:
         """Send an order.
 
         A hold and its release are sent directly to the engine. If they went
@@ -90,18 +90,19 @@
         if isinstance(order, HoldPass | ReleasePass):
             return self._order_engine_directly(order)
         reply = self._call_agent(pack_order(order))
-        if isinstance(reply, Obeyed):
+        if isinstance(reply, OrderReply):
             return reply
-        return Obeyed(self._engine.order(order))
+        return OrderReply(self._engine.order(order))
 
-    def _order_engine_directly(self, order: RankOrder) -> Obeyed:
+    def _order_engine_directly(self, order: RankOrder) -> OrderReply:
         result = self._engine.order(order)
         # To other hosts, the engine serves a report that is some hundred
         # milliseconds old. A planner that used it would not see the hold that
         # it has just placed. The agent's report is current.
-        snapshot = self._call_agent(Look(with_counts=False))
-        return Obeyed(
-            result, snapshot.report if isinstance(snapshot, Seen) else None
+        snapshot = self._call_agent(RankQuery(with_counts=False))
+        return OrderReply(
+            result,
+            snapshot.report if isinstance(snapshot, RankSnapshot) else None,
         )
 
     def close(self) -> None:
@@ -111,7 +112,9 @@
         self._sock = None
         self._counts = None
 
-    def _call_agent(self, message: _AgentRequest) -> Seen | Obeyed | None:
+    def _call_agent(
+        self, message: _AgentRequest
+    ) -> RankSnapshot | OrderReply | None:
         if self._clock.elapsed() < self._agent_retry_at:
             return None
         try:
@@ -123,7 +126,9 @@
             self._agent_retry_at = self._clock.elapsed() + _AGENT_RETRY_DELAY
             return None
 
-    def _send_and_receive(self, message: _AgentRequest) -> Seen | Obeyed | None:
+    def _send_and_receive(
+        self, message: _AgentRequest
+    ) -> RankSnapshot | OrderReply | None:
         if self._sock is None:
             self._sock = socket.create_connection(
                 (self._agent.ip, self._agent.port), _AGENT_TIMEOUT_SECONDS
@@ -131,7 +136,7 @@
             self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         send_frame(self._sock, RANK_CODEC.encode(message))
         reply = _decode_reply(receive_frame(self._sock), self._counts)
-        if isinstance(reply, Seen):
+        if isinstance(reply, RankSnapshot):
             self._counts = reply.counts or self._counts
         return reply
 
@@ -144,7 +149,7 @@
     was stored under the name alone kept calling the old address forever.
     """
 
-    life: Life
+    life: UpstreamIncarnation
     address: Address
 
 
@@ -161,7 +166,7 @@
         self._links: dict[_LinkKey, RankLink] = {}
         self._pool = ThreadPoolExecutor(_MAX_THREADS, 'rank')
 
-    def keep(self, upstreams: Iterable[Upstream]) -> None:
+    def close_except(self, upstreams: Iterable[Upstream]) -> None:
         """Close the links to all upstreams except those given.
 
         Args:
@@ -171,9 +176,9 @@
         for stale_key in self._links.keys() - current_keys:
             self._links.pop(stale_key).close()
 
-    def look(
-        self, upstreams: Iterable[Upstream], query: Look
-    ) -> dict[Upstream, Seen]:
+    def query_state(
+        self, upstreams: Iterable[Upstream], query: RankQuery
+    ) -> dict[Upstream, RankSnapshot]:
         """Query several upstreams concurrently.
 
         Args:
@@ -184,14 +189,14 @@
           The state of each upstream.
         """
         jobs = {
-            each: self._pool.submit(self._link(each).look, query)
+            each: self._pool.submit(self._link(each).query_state, query)
             for each in upstreams
         }
         return {each: job.result() for each, job in jobs.items()}
 
     def command(
         self, orders: Mapping[Upstream, RankOrder]
-    ) -> dict[Upstream, Obeyed]:
+    ) -> dict[Upstream, OrderReply]:
         """Send orders to several upstreams concurrently.
 
         Args:
@@ -219,13 +224,15 @@
     return _LinkKey(upstream.life, upstream.address)
 
 
-def _decode_reply(frame: bytes, before: CountLanes | None) -> Seen | Obeyed:
+def _decode_reply(
+    frame: bytes, before: LaneCounts | None
+) -> RankSnapshot | OrderReply:
     match RANK_CODEC.decode(frame):
-        case Ok(PackedSeen() as packed):
+        case Ok(PackedRankSnapshot() as packed):
             try:
                 return unpack_snapshot(packed, before)
-            except NotPacked as error:
+            except UnpackError as error:
                 raise ConnectionError(str(error)) from error
-        case Ok(Obeyed() as reply):
+        case Ok(OrderReply() as reply):
             return reply
     raise ConnectionError('the frame is not a reply of a rank agent')
--- a/linnetwind/rank_link_test.py
+++ b/linnetwind/rank_link_test.py
@@ -13,11 +13,11 @@
 from linnetwind.rank_link import RankLink
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    Look,
+    RankQuery,
     PackedCounts,
     PackedPrepare,
-    PackedSeen,
-    count_lanes,
+    PackedRankSnapshot,
+    make_lane_counts,
 )
 from linnetwind.rank_types import (
     HoldPass,
@@ -52,7 +52,7 @@
 
     def order(self, order):
         self.orders.append(order)
-        return OrderResult.BEGUN
+        return OrderResult.STARTED
 
 
 @pytest.fixture(name='agent')
@@ -101,14 +101,14 @@
     order = PrepareMap(4, 1, 1, MAPS)
     reply = _link(address, Engine()).command(order)
     assert local_engine.orders == [order]
-    assert reply.result is OrderResult.BEGUN
+    assert reply.result is OrderResult.STARTED
     assert reply.report == local_engine.current_report
 
 
 def test_counts_arrive_unchanged(agent):
     address, local_engine = agent
-    snapshot = _link(address, Engine()).look(Look(with_counts=True))
-    assert snapshot.counts == count_lanes(local_engine.counts())
+    snapshot = _link(address, Engine()).query_state(RankQuery(with_counts=True))
+    assert snapshot.counts == make_lane_counts(local_engine.counts())
     assert snapshot.report == local_engine.current_report
 
 
@@ -119,18 +119,18 @@
     link = _link(address, Engine())
     for selected in ((1, 2, 3), (1, 2, 3), (9, 2, 4), (0, 0, 1)):
         local_engine.selected = selected
-        snapshot = link.look(Look(with_counts=True))
-        assert snapshot.counts == count_lanes(local_engine.counts())
+        snapshot = link.query_state(RankQuery(with_counts=True))
+        assert snapshot.counts == make_lane_counts(local_engine.counts())
 
 
 def test_a_query_without_counts_does_not_break_the_next_difference(agent):
     address, local_engine = agent
     link = _link(address, Engine())
-    link.look(Look(with_counts=True))
-    link.look(Look(with_counts=False))
+    link.query_state(RankQuery(with_counts=True))
+    link.query_state(RankQuery(with_counts=False))
     local_engine.selected = (4, 4, 4)
-    snapshot = link.look(Look(with_counts=True))
-    assert snapshot.counts == count_lanes(local_engine.counts())
+    snapshot = link.query_state(RankQuery(with_counts=True))
+    assert snapshot.counts == make_lane_counts(local_engine.counts())
 
 
 def test_counts_are_complete_after_a_new_connection(agent):
@@ -138,11 +138,11 @@
     # connection after a timeout.
     address, local_engine = agent
     link = _link(address, Engine())
-    link.look(Look(with_counts=True))
+    link.query_state(RankQuery(with_counts=True))
     link.close()
     local_engine.selected = (4, 4, 4)
-    snapshot = link.look(Look(with_counts=True))
-    assert snapshot.counts == count_lanes(local_engine.counts())
+    snapshot = link.query_state(RankQuery(with_counts=True))
+    assert snapshot.counts == make_lane_counts(local_engine.counts())
 
 
 def test_an_order_goes_to_the_engine_if_the_agent_is_down():
@@ -160,7 +160,7 @@
 def test_an_agent_that_sends_invalid_counts_is_bypassed():
     # The counts cannot be decoded, so the engine is queried directly.
     listener = socket.create_server(('127.0.0.1', 0))
-    bad = PackedSeen(REPORT, PackedCounts(1, 1, b'123', 3), None)
+    bad = PackedRankSnapshot(REPORT, PackedCounts(1, 1, b'123', 3), None)
 
     def serve(sock: socket.socket) -> None:
         with sock:
@@ -169,7 +169,7 @@
 
     serve_in_threads(listener, serve)
     address = Address(*listener.getsockname())
-    snapshot = _link(address, Engine()).look(Look(with_counts=True))
+    snapshot = _link(address, Engine()).query_state(RankQuery(with_counts=True))
     assert snapshot.counts is None
     assert snapshot.report == REPORT
     listener.close()
--- a/linnetwind/rank_messages.py
+++ b/linnetwind/rank_messages.py
@@ -4,7 +4,7 @@
 
 from linnetwind.codec import Codec
 from linnetwind.rank_packing import (
-    NotPacked,
+    UnpackError,
     join_counts,
     may_subtract,
     pack_lanes,
@@ -14,7 +14,7 @@
 )
 from linnetwind.rank_types import (
     ArmMap,
-    CountLanes,
+    LaneCounts,
     DisarmMap,
     HoldPass,
     OrderResult,
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class RankQuery:
     """Requests the rank's state, with its counts and experts if wanted."""
 
     with_counts: bool
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class RankSnapshot:
     """The rank's state as of one query.
 
     A field is None if it was not requested or the engine did not respond.
     """
 
     report: RankReport | None
-    counts: CountLanes | None = None
+    counts: LaneCounts | None = None
     experts: RankExperts | None = None
 
 
@@ -64,8 +64,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PackedSeen:
-    """`Seen` in the form that is sent between agent and planner."""
+class PackedRankSnapshot:
+    """`RankSnapshot` in the form that is sent between agent and planner."""
 
     report: RankReport | None
     counts: PackedCounts | None
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Obeyed:
+class OrderReply:
     """The result of an order, and the rank's state after it."""
 
     result: OrderResult
@@ -93,21 +93,21 @@
 # The position of a type is its tag on the wire: append only.
 RANK_CODEC = Codec(
     (
-        Look,
-        Seen,
-        Obeyed,
+        RankQuery,
+        RankSnapshot,
+        OrderReply,
         PrepareMap,
         ArmMap,
         DisarmMap,
         HoldPass,
         ReleasePass,
-        PackedSeen,
+        PackedRankSnapshot,
         PackedPrepare,
     )
 )
 
 
-def count_lanes(counts: RankCounts | None) -> CountLanes | None:
+def make_lane_counts(counts: RankCounts | None) -> LaneCounts | None:
     """Pack a rank's counts into one integer.
 
     Args:
@@ -120,10 +120,10 @@
         return None
     lanes = join_counts(counts.counts)
     size = len(counts.counts)
-    return CountLanes(counts.epoch, counts.step, lanes, size, counts.born_ms)
+    return LaneCounts(counts.epoch, counts.step, lanes, size, counts.born_ms)
 
 
-def goes_on(before: CountLanes | None, new: CountLanes) -> bool:
+def counts_continue(before: LaneCounts | None, new: LaneCounts) -> bool:
     """Return whether a rank has kept counting since older counts were read.
 
     A rank that restarted counts from zero again. If its start time is not
@@ -146,8 +146,8 @@
 
 
 def pack_snapshot(
-    snapshot: Seen, before: CountLanes | None = None
-) -> PackedSeen:
+    snapshot: RankSnapshot, before: LaneCounts | None = None
+) -> PackedRankSnapshot:
     """Encode a rank's state for the connection between agent and planner.
 
     Counts that continue those sent before are sent as the difference.
@@ -162,7 +162,7 @@
     counts = snapshot.counts
     packed = None
     if counts is not None:
-        continues = goes_on(before, counts)
+        continues = counts_continue(before, counts)
         lanes = counts.lanes - before.lanes if continues else counts.lanes
         packed = PackedCounts(
             counts.epoch,
@@ -172,12 +172,12 @@
             before.step if continues else None,
             counts.born_ms,
         )
-    return PackedSeen(snapshot.report, packed, snapshot.experts)
+    return PackedRankSnapshot(snapshot.report, packed, snapshot.experts)
 
 
 def unpack_snapshot(
-    message: PackedSeen, before: CountLanes | None = None
-) -> Seen:
+    message: PackedRankSnapshot, before: LaneCounts | None = None
+) -> RankSnapshot:
     """Decode the rank's state from a message.
 
     Args:
@@ -188,7 +188,7 @@
       The state.
 
     Raises:
-      NotPacked: The counts are invalid, or are a difference from counts
+      UnpackError: The counts are invalid, or are a difference from counts
         other than `before`.
     """
     packed = message.counts
@@ -197,14 +197,14 @@
         lanes = unpack_lanes(packed.counts, packed.size)
         if packed.since_step is not None:
             if before is None or before.step != packed.since_step:
-                raise NotPacked(
+                raise UnpackError(
                     'counts are relative to others than those received before'
                 )
             lanes += before.lanes
-        counts = CountLanes(
+        counts = LaneCounts(
             packed.epoch, packed.step, lanes, packed.size, packed.born_ms
         )
-    return Seen(message.report, counts, message.experts)
+    return RankSnapshot(message.report, counts, message.experts)
 
 
 def pack_order(order: RankOrder) -> RankOrder | PackedPrepare:
@@ -233,7 +233,7 @@
       The order.
 
     Raises:
-      NotPacked: The message does not hold a valid map.
+      UnpackError: The message does not hold a valid map.
     """
     if not isinstance(message, PackedPrepare):
         return message
--- a/linnetwind/rank_packing.py
+++ b/linnetwind/rank_packing.py
@@ -33,7 +33,7 @@
 _UNPACK_ERRORS = (zlib.error, struct.error, RuntimeError)
 
 
-class NotPacked(ValueError):
+class UnpackError(ValueError):
     """The bytes are not valid packed counts or a valid packed map."""
 
 
@@ -113,15 +113,15 @@
       The lanes.
 
     Raises:
-      NotPacked: The bytes do not hold this number of counts.
+      UnpackError: The bytes do not hold this number of counts.
     """
     unpacker = zlib.decompressobj()
     try:
         plain = unpacker.decompress(packed, size * _COUNT_BYTES + 1)
     except zlib.error as error:
-        raise NotPacked(f'cannot unpack counts: {error!r}') from error
+        raise UnpackError(f'cannot unpack counts: {error!r}') from error
     if not unpacker.eof or len(plain) != size * _COUNT_BYTES:
-        raise NotPacked(f'{len(plain)} bytes do not hold {size} counts')
+        raise UnpackError(f'{len(plain)} bytes do not hold {size} counts')
     return int.from_bytes(plain, 'little')
 
 
@@ -152,12 +152,12 @@
       The map.
 
     Raises:
-      NotPacked: The bytes do not hold a map.
+      UnpackError: The bytes do not hold a map.
     """
     try:
         return _unpack(zlib.decompress(packed))
     except _UNPACK_ERRORS as error:
-        raise NotPacked(f'cannot unpack a map: {error!r}') from error
+        raise UnpackError(f'cannot unpack a map: {error!r}') from error
 
 
 def _unpack(plain: bytes) -> RankMaps:
--- a/linnetwind/rank_packing_test.py
+++ b/linnetwind/rank_packing_test.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from linnetwind.rank_packing import (
-    NotPacked,
+    UnpackError,
     join_counts,
     may_subtract,
     pack_lanes,
@@ -45,7 +45,7 @@
 
 @given(st.binary(max_size=60))
 def test_invalid_bytes_raise_not_packed(content):
-    with pytest.raises(NotPacked):
+    with pytest.raises(UnpackError):
         unpack_maps(content)
 
 
@@ -57,7 +57,7 @@
         (packed, 1),
         (b'x', 2),
     ):
-        with pytest.raises(NotPacked):
+        with pytest.raises(UnpackError):
             unpack_lanes(content, size)
 
 
--- a/linnetwind/rank_types.py
+++ b/linnetwind/rank_types.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CountLanes:
+class LaneCounts:
     """`RankCounts` packed into one integer with 32 bits for each count.
 
     `size` is the number of counts. Packed counts can be added at once, and
@@ -136,7 +136,7 @@
     """
 
     DONE = 'done'
-    BEGUN = 'begun'
+    STARTED = 'begun'
     REFUSED = 'refused'
     NO_ANSWER = 'no answer'
 
--- a/linnetwind/ranks_by_group.py
+++ b/linnetwind/ranks_by_group.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from linnetwind.group_room import UNNAMED
-from linnetwind.lives import Life
+from linnetwind.group_capacity import UNNAMED_GROUP
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_list import Upstream
 
 
@@ -18,14 +18,14 @@
     """
 
     upstreams: Sequence[Upstream]
-    group_of: Mapping[Life, str]
+    group_of: Mapping[UpstreamIncarnation, str]
     has_summary: bool
     by_group: Mapping[str, list[Upstream]]
 
     def is_valid_for(
         self,
         upstreams: Sequence[Upstream],
-        group_of: Mapping[Life, str],
+        group_of: Mapping[UpstreamIncarnation, str],
         *,
         has_summary: bool,
     ) -> bool:
@@ -45,7 +45,7 @@
 
 def sort_ranks(
     upstreams: Sequence[Upstream],
-    group_of: Mapping[Life, str],
+    group_of: Mapping[UpstreamIncarnation, str],
     *,
     has_summary: bool,
 ) -> SortedRanks:
@@ -62,8 +62,8 @@
     """
     by_group: dict[str, list[Upstream]] = {}
     for upstream in upstreams:
-        group = group_of.get(upstream.life, UNNAMED)
+        group = group_of.get(upstream.life, UNNAMED_GROUP)
         by_group.setdefault(group, []).append(upstream)
     if has_summary and len(by_group) > 1:
-        by_group.pop(UNNAMED, None)
+        by_group.pop(UNNAMED_GROUP, None)
     return SortedRanks(upstreams, group_of, has_summary, by_group)
--- a/linnetwind/record_follower.py
+++ b/linnetwind/record_follower.py
@@ -21,8 +21,8 @@
     Topic,
     Trimmed,
 )
-from linnetwind.step_log import StepLog
-from linnetwind.store_pace import StorePace
+from linnetwind.event_log import EventLog
+from linnetwind.store_rate_limit import StoreRateLimit
 
 # The longest wait before a retry while the store is unavailable. Each wait is
 # a random part of it, so that the daemons do not all retry at once.
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class TopicUpdate:
     """Records of a topic that were read in one go.
 
     `end` is the offset after the last record, in the store's `era`. `whole`
@@ -48,7 +48,7 @@
     era: int = 0
 
 
-class PeerCopies(Protocol):
+class PeerRecords(Protocol):
     """Fetches the records that other daemons have read."""
 
     def newest(self, topic: Topic) -> Records | StoreUnavailable:
@@ -62,11 +62,11 @@
         self,
         topic: Topic,
         store: RecordStore,
-        peers: PeerCopies,
-        on_update: Callable[[News], None],
-        pace: Callable[[], StorePace],
+        peers: PeerRecords,
+        on_update: Callable[[TopicUpdate], None],
+        pace: Callable[[], StoreRateLimit],
         clock: Clock,
-        log: StepLog,
+        log: EventLog,
     ) -> None:
         """Initialize without any records.
 
@@ -107,7 +107,7 @@
             self._position.era,
         )
 
-    def follow_once(self) -> timedelta:
+    def poll_once(self) -> timedelta:
         """Read from the store once, or from a peer if that fails.
 
         Returns:
@@ -165,7 +165,7 @@
         source: str = 'store',
     ) -> None:
         self._on_update(
-            News(
+            TopicUpdate(
                 batch.records,
                 batch.end,
                 whole,
--- a/linnetwind/record_follower_test.py
+++ b/linnetwind/record_follower_test.py
@@ -16,11 +16,11 @@
     Topic,
     Trimmed,
 )
-from linnetwind.store_pace import POLL_WAIT, StorePace
+from linnetwind.store_rate_limit import DEFAULT_POLL_WAIT, StoreRateLimit
 from standins.gateway_harness import ListLog
 
 INTERVAL = timedelta(seconds=0.4)
-RATE_LIMIT = StorePace(INTERVAL, POLL_WAIT)
+RATE_LIMIT = StoreRateLimit(INTERVAL, DEFAULT_POLL_WAIT)
 DOWN = StoreUnavailable('down')
 FIRST = KeyedRecord('a', 0, b'1')
 SECOND = KeyedRecord('b', 1, b'2')
@@ -54,7 +54,7 @@
         clock,
         log,
     )
-    pauses = [follower.follow_once() for _round in range(rounds)]
+    pauses = [follower.poll_once() for _round in range(rounds)]
     return follower, updates, log, pauses
 
 
--- a/linnetwind/refusal_book.py
+++ b/linnetwind/refusal_history.py
@@ -36,7 +36,7 @@
     own: Mapping[str, timedelta] = field(default_factory=dict)
     peers: Mapping[str, timedelta] = field(default_factory=dict)
 
-    def refuse(self, subject: str, now: timedelta) -> Self:
+    def record_rejection(self, subject: str, now: timedelta) -> Self:
         """Return the history after a rejection by this daemon.
 
         Args:
@@ -53,7 +53,7 @@
             self, own={**_unexpired(self.own, now), subject: now + RETENTION}
         )
 
-    def hear(self, subjects: Iterable[str], now: timedelta) -> Self:
+    def merge_advertised(self, subjects: Iterable[str], now: timedelta) -> Self:
         """Return the history after a message of another daemon.
 
         Args:
@@ -73,7 +73,7 @@
             return self
         return replace(self, peers={**_unexpired(self.peers, now), **fresh})
 
-    def tell(self, now: timedelta) -> tuple[str, ...]:
+    def to_advertise(self, now: timedelta) -> tuple[str, ...]:
         """Return the subjects to advertise to the other daemons.
 
         Args:
@@ -85,7 +85,7 @@
         newest = _unexpired(self.own, now + RETENTION - ADVERTISED_FOR)
         return tuple(newest)[-MAX_ADVERTISED:]
 
-    def is_returning(self, subject: str, now: timedelta) -> bool:
+    def is_retry(self, subject: str, now: timedelta) -> bool:
         """Return whether a request was rejected lately.
 
         Args:
@@ -101,7 +101,7 @@
         )
 
 
-class Refusals:
+class RefusalTracker:
     """The rejections that a daemon remembers; methods are thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
@@ -114,29 +114,33 @@
         self._lock = threading.Lock()
         self._history = RefusalHistory()
 
-    def refuse(self, subject: str) -> None:
+    def record_rejection(self, subject: str) -> None:
         """Record a rejection by this daemon.
 
         Args:
           subject: The request's subject.
         """
         with self._lock:
-            self._history = self._history.refuse(subject, self._clock.elapsed())
+            self._history = self._history.record_rejection(
+                subject, self._clock.elapsed()
+            )
 
-    def hear(self, subjects: Iterable[str]) -> None:
+    def merge_advertised(self, subjects: Iterable[str]) -> None:
         """Record the rejections that another daemon advertises.
 
         Args:
           subjects: The subjects.
         """
         with self._lock:
-            self._history = self._history.hear(subjects, self._clock.elapsed())
+            self._history = self._history.merge_advertised(
+                subjects, self._clock.elapsed()
+            )
 
-    def tell(self) -> tuple[str, ...]:
+    def to_advertise(self) -> tuple[str, ...]:
         """Return the subjects to advertise to the other daemons."""
-        return self._history.tell(self._clock.elapsed())
+        return self._history.to_advertise(self._clock.elapsed())
 
-    def is_returning(self, subject: str) -> bool:
+    def is_retry(self, subject: str) -> bool:
         """Return whether a request is the retry of a rejected one.
 
         Args:
@@ -145,7 +149,7 @@
         Returns:
           Whether any daemon rejected it lately and asked its caller to retry.
         """
-        return self._history.is_returning(subject, self._clock.elapsed())
+        return self._history.is_retry(subject, self._clock.elapsed())
 
 
 def _unexpired(
--- a/linnetwind/relay.py
+++ b/linnetwind/relay.py
@@ -6,12 +6,12 @@
 
 from linnetwind.call_policy import (
     Allowed,
-    AttemptLost,
+    FailedAttempt,
     Denied,
     GiveUp,
-    Progressed,
-    TryAnother,
-    after_loss,
+    RequestProgress,
+    RetryElsewhere,
+    after_failed_attempt,
     allow,
 )
 from linnetwind.call_types import (
@@ -21,25 +21,33 @@
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.crash_guard import (
     QUARANTINED,
-    note_whole_answer,
-    quarantine_left,
+    record_complete_answer,
+    remaining_quarantine,
 )
 from linnetwind.gateway_events import AttemptFailed
-from linnetwind.gateway_stop import Ending
+from linnetwind.gateway_stop import EndEstimate
 from linnetwind.group_wait import await_open_group, group_opens_in
-from linnetwind.journey import (
-    Done,
-    GatewayTools,
-    Journey,
+from linnetwind.request_context import (
+    RequestResult,
+    GatewayContext,
+    RequestContext,
     respond_to_caller,
 )
-from linnetwind.request_report import log_request_end
+from linnetwind.request_end_log import log_request_end
 from linnetwind.routes import RouteTable, choose_service
-from linnetwind.stream_gate import STOPPING, TurnAway, bounded_retry
+from linnetwind.admission_policy import (
+    STOPPING,
+    RejectStream,
+    clamp_retry_after,
+)
 from linnetwind.upstream_attempt import UpstreamAttempt
-from linnetwind.upstream_claim import RETRY_SOON, claim_upstream, next_turn
+from linnetwind.upstream_acquisition import (
+    MIN_RETRY_DELAY,
+    acquire_or_wait,
+    time_until_accepted,
+)
 from linnetwind.upstream_list import Upstream
-from linnetwind.waiting_line import Claim
+from linnetwind.wait_queue import PermitRequest
 
 # The time limit of a request whose headers state none.
 _DEFAULT_TIME_LIMIT_S = 30
@@ -52,7 +60,7 @@
 
     def __init__(
         self,
-        tools: GatewayTools,
+        tools: GatewayContext,
         connection: CallerConnection,
         request: CallerRequest,
     ) -> None:
@@ -77,28 +85,28 @@
         if table is None:
             # Before the first configuration arrives, the daemon cannot know
             # whether a route or key exists, so 404 or 401 would be wrong.
-            self._respond(_REFUSED, _retry_after(RETRY_SOON))
+            self._respond(_REFUSED, _retry_after(MIN_RETRY_DELAY))
             return self._connection.reusable
         context = self._make_context(table)
         done = self._authorize(context)
-        note_whole_answer(self._tools, context, done)
+        record_complete_answer(self._tools, context, done)
         log_request_end(self._tools, context, done)
         return self._connection.reusable
 
-    def _make_context(self, table: RouteTable) -> Journey:
+    def _make_context(self, table: RouteTable) -> RequestContext:
         facts = self._tools.dialect.read_call(self._request)
         limit = facts.time_limit or DEFAULT_TIME_LIMIT
-        return Journey(
+        return RequestContext(
             self._request, facts, table, self._request.received + limit
         )
 
-    def _authorize(self, context: Journey) -> Done:
+    def _authorize(self, context: RequestContext) -> RequestResult:
         """Check the route and the API key, then process the request."""
         decision = allow(context.table, context.facts)
         match decision:
             case Denied(status, reason):
                 self._respond(status, ())
-                return Done('denied', status, reason)
+                return RequestResult('denied', status, reason)
             case Allowed(route, customer):
                 context.route = route
                 context.customer = customer
@@ -106,23 +114,25 @@
                 context.until = min(context.until, latest)
                 return self._admit(context)
 
-    def _admit(self, context: Journey) -> Done:
+    def _admit(self, context: RequestContext) -> RequestResult:
         """Check service, quarantine and daemon stop, then run the request."""
         name = choose_service(context.route, random.random())
         context.service = context.table.services.get(name)
         if context.service is None:
             return self._refuse(context, 'no such service')
-        quarantine_remaining = quarantine_left(self._tools, context)
+        quarantine_remaining = remaining_quarantine(self._tools, context)
         if quarantine_remaining is not None:
             return self._refuse(context, QUARANTINED, quarantine_remaining)
         stop = self._tools.stop
-        if not stop.may_begin(self._expected_ending(context)):
+        if not stop.may_start(self._expected_ending(context)):
             return self._refuse_while_stopping(context, stop.retry_after())
         with self._tools.open_work.request():
             return self._run_admitted(context)
 
-    def _run_admitted(self, context: Journey) -> Done:
-        self._tools.state.books.repeats.count_request(context.service.name)
+    def _run_admitted(self, context: RequestContext) -> RequestResult:
+        self._tools.state.request_history.retry_budgets.count_request(
+            context.service.name
+        )
         if context.service.engine is not None:
             rejection = self._wait_for_admission(context)
             if rejection is not None:
@@ -130,81 +140,91 @@
         return self._run_attempts(context)
 
     def _refuse_while_stopping(
-        self, context: Journey, retry_delay: timedelta
-    ) -> Done:
+        self, context: RequestContext, retry_delay: timedelta
+    ) -> RequestResult:
         """Refuse a request that cannot end before this daemon stops."""
         if retry_delay:
             # The retry is late in any case and may wait longer in the queue.
-            self._tools.state.books.refusals.refuse(context.facts.subject)
+            self._tools.state.request_history.refusals.record_rejection(
+                context.facts.subject
+            )
         self._respond(_REFUSED, _retry_after(retry_delay))
-        return Done('refused', _REFUSED, STOPPING.reason, retry_delay)
+        return RequestResult('refused', _REFUSED, STOPPING.reason, retry_delay)
 
-    def _expected_ending(self, context: Journey) -> Ending:
+    def _expected_ending(self, context: RequestContext) -> EndEstimate:
         """Return when the request would end if it started now."""
-        duration = self._tools.runs.expect(
+        duration = self._tools.runs.expected_duration(
             context.service.name, context.facts.tokens
         )
         if duration is None:
-            return Ending(context.until, context.until)
-        return Ending(context.until, self._tools.clock.elapsed() + duration)
+            return EndEstimate(context.until, context.until)
+        return EndEstimate(
+            context.until, self._tools.clock.elapsed() + duration
+        )
 
-    def _wait_for_admission(self, context: Journey) -> Done | None:
+    def _wait_for_admission(
+        self, context: RequestContext
+    ) -> RequestResult | None:
         """Wait for admission; return the result if the stream is rejected."""
         route, service = context.route, context.service
         state = self._tools.state
-        claim = Claim(
+        claim = PermitRequest(
             self._request.received,
             route.target,
             route.gap,
-            state.books.refusals.is_returning(context.facts.subject),
+            state.request_history.refusals.is_retry(context.facts.subject),
         )
-        admission = state.room.enter(
+        admission = state.stream_admission.acquire_permit(
             service.name,
             claim,
             lambda gap: state.group_view(service, gap),
-            lambda: state.take_upstream(service, frozenset()),
+            lambda: state.acquire_upstream(service, frozenset()),
             lambda: self._tools.stop.has_time(self._expected_ending(context)),
         )
         context.queued = self._tools.clock.elapsed() - self._request.received
-        if not isinstance(admission, TurnAway):
-            context.claimed = admission
+        if not isinstance(admission, RejectStream):
+            context.acquired = admission
             return None
         if admission == STOPPING:
             return self._refuse_while_stopping(
                 context, self._tools.stop.retry_after()
             )
-        state.books.refusals.refuse(context.facts.subject)
+        state.request_history.refusals.record_rejection(context.facts.subject)
         self._respond(_REFUSED, _retry_after(admission.retry_after))
-        return Done(
+        return RequestResult(
             'refused', _REFUSED, admission.reason, admission.retry_after
         )
 
-    def _run_attempts(self, context: Journey) -> Done:
-        result: Done | None = None
+    def _run_attempts(self, context: RequestContext) -> RequestResult:
+        result: RequestResult | None = None
         while result is None:
             result = self._run_next_attempt(context)
         return result
 
-    def _run_next_attempt(self, context: Journey) -> Done | None:
+    def _run_next_attempt(
+        self, context: RequestContext
+    ) -> RequestResult | None:
         """Try one upstream; return the result, None if another is due."""
-        upstream = claim_upstream(self._tools, context)
+        upstream = acquire_or_wait(self._tools, context)
         if upstream is None:
             return self._refuse(
-                context, 'no upstream left', next_turn(self._tools, context)
+                context,
+                'no upstream left',
+                time_until_accepted(self._tools, context),
             )
         try:
             result = self._run_attempt(context, upstream)
         finally:
-            self._tools.state.give_back(upstream)
-        if isinstance(result, Done):
+            self._tools.state.release_upstream(upstream)
+        if isinstance(result, RequestResult):
             return result
         return self._after_failed_attempt(context, upstream, result)
 
     def _run_attempt(
-        self, context: Journey, upstream: Upstream
-    ) -> Done | AttemptLost:
+        self, context: RequestContext, upstream: Upstream
+    ) -> RequestResult | FailedAttempt:
         # The request may have been quarantined while it was queued.
-        quarantine_remaining = quarantine_left(self._tools, context)
+        quarantine_remaining = remaining_quarantine(self._tools, context)
         if quarantine_remaining is not None:
             return self._refuse(context, QUARANTINED, quarantine_remaining)
         return UpstreamAttempt(
@@ -212,24 +232,24 @@
         ).run()
 
     def _after_failed_attempt(
-        self, context: Journey, upstream: Upstream, failed: AttemptLost
-    ) -> Done | None:
+        self, context: RequestContext, upstream: Upstream, failed: FailedAttempt
+    ) -> RequestResult | None:
         """Return the result after a failed attempt, None to try another."""
         context.tried.add(upstream.instance)
         context.may_have_run = context.may_have_run or failed.may_have_run
         time_left = context.until - self._tools.clock.elapsed()
-        progressed = Progressed(
+        progressed = RequestProgress(
             len(context.sent_to), context.may_have_run, time_left
         )
-        decision = after_loss(context.route, failed, progressed)
+        decision = after_failed_attempt(context.route, failed, progressed)
         opens_in = group_opens_in(self._tools, context)
-        if isinstance(decision, TryAnother):
+        if isinstance(decision, RetryElsewhere):
             opens_in = await_open_group(self._tools, self._connection, context)
             if opens_in is not None:
-                decision = decision.instead
+                decision = decision.fallback
             elif not self._may_retry_elsewhere(context, decision):
-                decision = decision.instead
-        will_retry = isinstance(decision, TryAnother)
+                decision = decision.fallback
+        will_retry = isinstance(decision, RetryElsewhere)
         self._tools.log.event(
             AttemptFailed(
                 context.facts.call_id,
@@ -240,23 +260,30 @@
                 'another upstream' if will_retry else 'final answer',
             )
         )
-        if isinstance(decision, TryAnother):
+        if isinstance(decision, RetryElsewhere):
             return None
         if opens_in is None:
             return self._give_up(context, decision)
         # The caller's retry may wait until the group opens.
-        self._tools.state.books.refusals.refuse(context.facts.subject)
-        return self._give_up(context, decision, bounded_retry(opens_in))
+        self._tools.state.request_history.refusals.record_rejection(
+            context.facts.subject
+        )
+        return self._give_up(context, decision, clamp_retry_after(opens_in))
 
-    def _may_retry_elsewhere(self, context: Journey, retry: TryAnother) -> bool:
-        if quarantine_left(self._tools, context) is not None:
+    def _may_retry_elsewhere(
+        self, context: RequestContext, retry: RetryElsewhere
+    ) -> bool:
+        if remaining_quarantine(self._tools, context) is not None:
             return False
-        repeats = self._tools.state.books.repeats
-        return not retry.counts or repeats.spend(context.service.name)
+        retry_budgets = self._tools.state.request_history.retry_budgets
+        return not retry.counts or retry_budgets.spend(context.service.name)
 
     def _refuse(
-        self, context: Journey, reason: str, retry_delay: timedelta = RETRY_SOON
-    ) -> Done:
+        self,
+        context: RequestContext,
+        reason: str,
+        retry_delay: timedelta = MIN_RETRY_DELAY,
+    ) -> RequestResult:
         """Give up without another upstream.
 
         The status says "not run" only if no earlier attempt may have run.
@@ -269,27 +296,29 @@
 
     def _give_up(
         self,
-        context: Journey,
+        context: RequestContext,
         decision: GiveUp,
-        retry_delay: timedelta = RETRY_SOON,
-    ) -> Done:
+        retry_delay: timedelta = MIN_RETRY_DELAY,
+    ) -> RequestResult:
         if context.response_started:
             # The caller already received part of the stream. Only a broken
             # connection shows it that the rest is missing.
             self._connection.close()
-            return Done('cut', 0, decision.reason)
+            return RequestResult('cut', 0, decision.reason)
         if context.failure is not None:
             # The upstream's own error response is more informative than one
             # generated here.
             head, body = context.failure
-            headers = self._tools.dialect.answer_headers(head.headers)
+            headers = self._tools.dialect.response_headers(head.headers)
             self._respond(head.status, headers, body)
-            return Done('answered', head.status, decision.reason)
+            return RequestResult('answered', head.status, decision.reason)
         if not decision.not_run:
             self._respond(decision.status, ())
-            return Done('unknown', decision.status, decision.reason)
+            return RequestResult('unknown', decision.status, decision.reason)
         self._respond(decision.status, _retry_after(retry_delay))
-        return Done('refused', decision.status, decision.reason, retry_delay)
+        return RequestResult(
+            'refused', decision.status, decision.reason, retry_delay
+        )
 
     def _respond(
         self, status: int, headers: Headers, body: bytes = b''
--- a/linnetwind/journey.py
+++ b/linnetwind/request_context.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from linnetwind.call_policy import AttemptLost
+from linnetwind.call_policy import FailedAttempt
 from linnetwind.call_types import (
     CallerRequest,
-    CallFacts,
+    RequestFacts,
     Dialect,
     Headers,
 )
@@ -18,10 +18,10 @@
 from linnetwind.gateway_stop import GatewayStop
 from linnetwind.open_work import OpenWork
 from linnetwind.routes import Route, RoutedService, RouteTable
-from linnetwind.run_times import RunTimes
-from linnetwind.step_log import StepLog
+from linnetwind.stream_durations import StreamDurations
+from linnetwind.event_log import EventLog
 from linnetwind.upstream_call import (
-    Broken,
+    BrokenCall,
     CallerDisconnected,
     CallOpener,
     Head,
@@ -39,27 +39,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayTools:
+class GatewayContext:
     """The daemon's shared services that every request uses.
 
-    `tell_peers` sends this daemon's state to its peers at once.
-    `keep_quarantine` writes a request's quarantine to the store.
+    `advertise_to_peers` sends this daemon's state to its peers at once.
+    `persist_quarantine` writes a request's quarantine to the store.
     """
 
     state: GatewayState
     dialect: Dialect
     clock: Clock
-    log: StepLog
+    log: EventLog
     open_call: CallOpener
     stop: GatewayStop
-    runs: RunTimes = field(default_factory=RunTimes)
+    runs: StreamDurations = field(default_factory=StreamDurations)
     open_work: OpenWork = field(default_factory=OpenWork)
-    tell_peers: Callable[[], None] = _notify_no_peers
-    keep_quarantine: Callable[[Fingerprint], None] = _store_no_quarantine
+    advertise_to_peers: Callable[[], None] = _notify_no_peers
+    persist_quarantine: Callable[[Fingerprint], None] = _store_no_quarantine
 
 
 @dataclass(slots=True)
-class Journey:
+class RequestContext:
     """The state of a request between its reception and its final response.
 
     `until` is the monotonic time by which the final response is due.
@@ -74,14 +74,14 @@
     """
 
     request: CallerRequest
-    facts: CallFacts
+    facts: RequestFacts
     table: RouteTable
     until: timedelta
     route: Route | None = None
     customer: str | None = None
     service: RoutedService | None = None
     queued: timedelta = timedelta()
-    claimed: Upstream | None = None
+    acquired: Upstream | None = None
     current_upstream: Upstream | None = None
     sent_to: list[str] = field(default_factory=list)
     tried: set[str] = field(default_factory=set)
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class RequestResult:
     """The result of a request, as the log records it.
 
     `retry_after` is the delay in the `Retry-After` header that the caller
@@ -117,12 +117,12 @@
     retry_after: timedelta | None = None
 
 
-CALLER_LEFT = Done('caller left', 0)
+CALLER_LEFT = RequestResult('caller left', 0)
 
 
 def as_failed_attempt(
-    failure: Broken | TimedOut | CallerDisconnected,
-) -> Done | AttemptLost:
+    failure: BrokenCall | TimedOut | CallerDisconnected,
+) -> RequestResult | FailedAttempt:
     """Convert the failure of a call into the result of an attempt.
 
     Args:
@@ -133,10 +133,10 @@
       attempt.
     """
     match failure:
-        case Broken(problem):
-            return AttemptLost(problem, may_have_run=True, reached=True)
+        case BrokenCall(problem):
+            return FailedAttempt(problem, may_have_run=True, reached=True)
         case TimedOut():
-            return AttemptLost(
+            return FailedAttempt(
                 'no answer in time',
                 may_have_run=True,
                 reached=True,
@@ -147,7 +147,7 @@
 
 
 def respond_to_caller(
-    tools: GatewayTools,
+    tools: GatewayContext,
     connection: CallerConnection,
     status: int,
     headers: Headers,
@@ -165,7 +165,7 @@
     connection.answer(status, with_connection_close(tools, headers), body)
 
 
-def with_connection_close(tools: GatewayTools, headers: Headers) -> Headers:
+def with_connection_close(tools: GatewayContext, headers: Headers) -> Headers:
     """Add `Connection: close` to a response's headers if the daemon stops.
 
     Every response needs it, those of streams too. Otherwise callers that keep
@@ -179,6 +179,6 @@
     Returns:
       The headers, with `Connection: close` if the daemon is stopping.
     """
-    if not tools.stop.is_begun():
+    if not tools.stop.is_stopping():
         return headers
     return (*headers, (b'Connection', b'close'))
--- a/linnetwind/stream_counts.py
+++ b/linnetwind/request_counts.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from collections.abc import Collection, Mapping
 
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 
 
-class StreamCounts:
+class RequestCounts:
     """The requests of this daemon and its peers by incarnation of an upstream.
 
     Not thread-safe.
@@ -18,17 +18,17 @@
 
     def __init__(self) -> None:
         """Start without requests."""
-        self._totals: Counter[Life] = Counter()
-        self._own: Counter[Life] = Counter()
-        self._peers: dict[str, Mapping[Life, int]] = {}
+        self._totals: Counter[UpstreamIncarnation] = Counter()
+        self._own: Counter[UpstreamIncarnation] = Counter()
+        self._peers: dict[str, Mapping[UpstreamIncarnation, int]] = {}
 
     @property
-    def totals(self) -> Mapping[Life, int]:
+    def totals(self) -> Mapping[UpstreamIncarnation, int]:
         """Return the requests of all daemons, as a live view."""
         return self._totals
 
     @property
-    def own(self) -> Mapping[Life, int]:
+    def own(self) -> Mapping[UpstreamIncarnation, int]:
         """Return the requests of this daemon, as a live view."""
         return self._own
 
@@ -37,7 +37,7 @@
         """Return the names of the peers that are counted."""
         return self._peers.keys()
 
-    def begin(self, life: Life) -> None:
+    def begin(self, life: UpstreamIncarnation) -> None:
         """Count a request of this daemon that starts.
 
         Args:
@@ -46,7 +46,7 @@
         self._own[life] += 1
         self._totals[life] += 1
 
-    def end(self, life: Life) -> None:
+    def end(self, life: UpstreamIncarnation) -> None:
         """Stop counting a request of this daemon.
 
         Args:
@@ -55,19 +55,21 @@
         for counts in (self._own, self._totals):
             _subtract(counts, life, 1)
 
-    def hear(self, peer: str, running: Mapping[Life, int]) -> None:
+    def merge_advertised(
+        self, peer: str, running: Mapping[UpstreamIncarnation, int]
+    ) -> None:
         """Replace the counts of a peer.
 
         Args:
           peer: The peer's name.
           running: Its requests at each incarnation.
         """
-        self.drop(peer)
+        self.drop_peer(peer)
         self._peers[peer] = running
         for life, count in running.items():
             self._totals[life] += count
 
-    def drop(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Remove the counts of a peer.
 
         Args:
@@ -77,7 +79,9 @@
             _subtract(self._totals, life, count)
 
 
-def _subtract(counts: Counter[Life], life: Life, count: int) -> None:
+def _subtract(
+    counts: Counter[UpstreamIncarnation], life: UpstreamIncarnation, count: int
+) -> None:
     """Subtract a count, and remove an incarnation that has none left.
 
     Incarnations are never reused, so zero counts would pile up.
--- a/linnetwind/stream_counts_test.py
+++ b/linnetwind/request_counts_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetwind.stream_counts import StreamCounts
+from linnetwind.request_counts import RequestCounts
 
 _INCARNATIONS = st.sampled_from(['a', 'b', 'c'])
 _RUNNING = st.dictionaries(_INCARNATIONS, st.integers(1, 5))
@@ -21,7 +21,7 @@
 
 @given(_STEPS)
 def test_incremental_counts_equal_a_recount(steps):
-    counts = StreamCounts()
+    counts = RequestCounts()
     own: Counter[str] = Counter()
     peers: dict[str, dict[str, int]] = {}
     for step in steps:
@@ -35,10 +35,10 @@
                     counts.end(life)
                     own[life] -= 1
             case 'drop', peer:
-                counts.drop(peer)
+                counts.drop_peer(peer)
                 peers.pop(peer, None)
             case 'hear', peer, running:
-                counts.hear(peer, running)
+                counts.merge_advertised(peer, running)
                 peers[peer] = running
         recounted = sum(map(Counter, peers.values()), Counter(own))
         assert dict(counts.totals) == {
--- a/linnetwind/request_report.py
+++ b/linnetwind/request_end_log.py
@@ -1,10 +1,16 @@
 """Logs the end of each request."""
 
 from linnetwind.gateway_events import RequestEnded
-from linnetwind.journey import Done, GatewayTools, Journey
+from linnetwind.request_context import (
+    RequestResult,
+    GatewayContext,
+    RequestContext,
+)
 
 
-def log_request_end(tools: GatewayTools, context: Journey, done: Done) -> None:
+def log_request_end(
+    tools: GatewayContext, context: RequestContext, done: RequestResult
+) -> None:
     """Log how a request ended, and for what reason.
 
     Args:
@@ -31,7 +37,7 @@
             now - received,
             context.until - received,
             context.longest_pause,
-            tools.state.group_running(service),
+            tools.state.requests_in_flight(service),
             done.retry_after,
         )
     )
--- a/linnetwind/request_books.py
+++ b/linnetwind/request_history.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass
 
 from linnetwind.clock import Clock
-from linnetwind.crashes import Crashes
-from linnetwind.peer_book import PeerBook, PeerState, demands_of
-from linnetwind.refusal_book import Refusals
-from linnetwind.repeat_budget import BudgetTerms, SharedRepeats
+from linnetwind.crash_tracker import CrashTracker
+from linnetwind.peer_table import PeerTable, PeerState, demands_of
+from linnetwind.refusal_history import RefusalTracker
+from linnetwind.shared_retry_budget import RetryBudgetTerms, SharedRetryBudget
 from linnetwind.upstream_backoff import UpstreamBackoffs
 from linnetwind.upstream_limits import ServiceDemand, UpstreamLimits
 
 
 @dataclass(frozen=True, slots=True)
-class RequestBooks:
+class RequestHistory:
     """Retry budgets, refusals, crashes, limits and backoffs; thread-safe.
 
     `retry_budgets` limits the retries to each service. `refusals` holds the
@@ -22,28 +22,28 @@
     per second, and `backoffs` the upstreams that currently accept no requests.
     """
 
-    repeats: SharedRepeats
-    refusals: Refusals
-    crashes: Crashes
+    retry_budgets: SharedRetryBudget
+    refusals: RefusalTracker
+    crashes: CrashTracker
     limits: UpstreamLimits
     backoffs: UpstreamBackoffs
 
-    def hear(self, state: PeerState, daemons: int) -> None:
+    def merge_advertised(self, state: PeerState, daemons: int) -> None:
         """Merge the state that a peer sent.
 
         Args:
           state: The peer's state.
           daemons: The number of daemons, including this one.
         """
-        self.refusals.hear(state.refused)
-        self.crashes.hear(state.crashes, state.answered)
-        self.repeats.share_among(daemons)
-        self.limits.hear(state.limits)
+        self.refusals.merge_advertised(state.refused)
+        self.crashes.merge_advertised(state.crashes, state.answered)
+        self.retry_budgets.set_daemon_count(daemons)
+        self.limits.merge_advertised(state.limits)
 
 
-def make_books(
-    terms: BudgetTerms, clock: Clock, peers: Callable[[], PeerBook]
-) -> RequestBooks:
+def make_request_history(
+    terms: RetryBudgetTerms, clock: Clock, peers: Callable[[], PeerTable]
+) -> RequestHistory:
     """Return an empty request history.
 
     Args:
@@ -54,16 +54,16 @@
     Returns:
       The request history.
     """
-    repeats = SharedRepeats(terms, clock)
+    retry_budgets = SharedRetryBudget(terms, clock)
 
     def demands(service: str) -> Mapping[str, float]:  # noqa: WPS430
-        own_demand = ServiceDemand(service, repeats.demand(service))
+        own_demand = ServiceDemand(service, retry_budgets.demand(service))
         return demands_of(peers(), own_demand, clock.elapsed())
 
-    return RequestBooks(
-        repeats,
-        Refusals(clock),
-        Crashes(clock),
+    return RequestHistory(
+        retry_budgets,
+        RefusalTracker(clock),
+        CrashTracker(clock),
         UpstreamLimits(clock, str(peers().own), demands),
         UpstreamBackoffs(clock),
     )
--- a/linnetwind/answer_test.py
+++ b/linnetwind/response_assembler_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linnetwind.answer import (
+from linnetwind.response_assembler import (
     Body,
     Failed,
     Finished,
--- a/linnetwind/answer_relay.py
+++ b/linnetwind/response_relay.py
@@ -2,14 +2,14 @@
 
 from datetime import timedelta
 
-from linnetwind.call_policy import AttemptLost
+from linnetwind.call_policy import FailedAttempt
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.event_stream import EventSplitter, StreamEvent
-from linnetwind.journey import (
+from linnetwind.request_context import (
     CALLER_LEFT,
-    Done,
-    GatewayTools,
-    Journey,
+    RequestResult,
+    GatewayContext,
+    RequestContext,
     as_failed_attempt,
     respond_to_caller,
     with_connection_close,
@@ -17,7 +17,7 @@
 from linnetwind.routes import RouteKind
 from linnetwind.upstream_call import (
     BodyChunk,
-    Broken,
+    BrokenCall,
     CallerDisconnected,
     End,
     Head,
@@ -40,9 +40,9 @@
 
     def __init__(
         self,
-        tools: GatewayTools,
+        tools: GatewayContext,
         connection: CallerConnection,
-        context: Journey,
+        context: RequestContext,
         call: UpstreamCall,
         head: Head,
     ) -> None:
@@ -60,9 +60,9 @@
         self._context = context
         self._call = call
         self._head = head
-        self._headers = tools.dialect.answer_headers(head.headers)
+        self._headers = tools.dialect.response_headers(head.headers)
 
-    def run(self) -> Done | AttemptLost:
+    def run(self) -> RequestResult | FailedAttempt:
         """Relay the response.
 
         Returns:
@@ -78,7 +78,7 @@
             return _upstream_failure(self._head.status)
         return self._relay_whole()
 
-    def _relay_whole(self) -> Done | AttemptLost:
+    def _relay_whole(self) -> RequestResult | FailedAttempt:
         result = read_body_up_to(
             self._call, BUFFERED_BYTES, self._context.until
         )
@@ -95,7 +95,7 @@
         respond_to_caller(
             self._tools, self._connection, status, self._headers, body
         )
-        return Done('answered', status)
+        return RequestResult('answered', status)
 
     def _may_retry(self) -> bool:
         """Return whether another upstream may replace an error response."""
@@ -107,7 +107,7 @@
             and left > timedelta()
         )
 
-    def _relay_unbuffered(self, body: bytes) -> Done:
+    def _relay_unbuffered(self, body: bytes) -> RequestResult:
         """Relay a response that is too large to buffer."""
         self._context.response_started = True
         sent = self._connection.start(
@@ -121,15 +121,15 @@
                     sent = self._connection.send(content)
                 case End():
                     self._connection.finish()
-                    return Done('answered', self._head.status)
+                    return RequestResult('answered', self._head.status)
                 case _:
                     self._connection.close()
-                    return Done('cut', 0, 'the answer broke off')
+                    return RequestResult('cut', 0, 'the answer broke off')
         return CALLER_LEFT
 
-    def _relay_stream(self) -> Done | AttemptLost:
+    def _relay_stream(self) -> RequestResult | FailedAttempt:
         splitter = EventSplitter()
-        outcome: Done | AttemptLost | None = None
+        outcome: RequestResult | FailedAttempt | None = None
         while outcome is None:
             progress = self._call.next(self._context.until)
             match progress:
@@ -138,11 +138,11 @@
                     outcome = self._relay_events(events)
                 case End():
                     outcome = self._end_stream(splitter)
-                case Broken() | TimedOut() | CallerDisconnected():
+                case BrokenCall() | TimedOut() | CallerDisconnected():
                     outcome = as_failed_attempt(progress)
         return outcome
 
-    def _relay_events(self, events: list[StreamEvent]) -> Done | None:
+    def _relay_events(self, events: list[StreamEvent]) -> RequestResult | None:
         """Relay the events that the caller has not received yet."""
         last = self._context.last_event_id
         undelivered = [each for each in events if _is_undelivered(each, last)]
@@ -167,7 +167,7 @@
         now = self._tools.clock.elapsed()
         self._context.first_byte = now
         received = self._context.request.received
-        self._tools.state.room.note_start(
+        self._tools.state.stream_admission.record_start(
             self._context.service.name, now - received - self._context.queued
         )
         headers = with_connection_close(self._tools, self._headers)
@@ -182,32 +182,36 @@
         pause = now - before
         longest = max(self._context.longest_pause, pause)
         self._context.longest_pause = longest
-        self._tools.state.note_pause(self._context.current_upstream, pause)
+        self._tools.state.record_pause(self._context.current_upstream, pause)
 
     def _record_run(self) -> None:
         context = self._context
         if context.facts.tokens is None or context.first_byte is None:
             return
         took = self._tools.clock.elapsed() - context.first_byte
-        self._tools.runs.note(context.service.name, context.facts.tokens, took)
+        self._tools.runs.record_stream(
+            context.service.name, context.facts.tokens, took
+        )
 
-    def _end_stream(self, splitter: EventSplitter) -> Done | AttemptLost:
+    def _end_stream(
+        self, splitter: EventSplitter
+    ) -> RequestResult | FailedAttempt:
         if splitter.incomplete:
             # Finishing the response normally would make it look complete,
             # although the end of its last event is missing.
-            return AttemptLost(
+            return FailedAttempt(
                 'the stream ended within an event',
                 may_have_run=True,
                 reached=True,
             )
         if self._start_stream() and self._connection.finish():
             self._record_run()
-            return Done('answered', self._head.status)
+            return RequestResult('answered', self._head.status)
         return CALLER_LEFT
 
 
-def _upstream_failure(status: int) -> AttemptLost:
-    return AttemptLost(
+def _upstream_failure(status: int) -> FailedAttempt:
+    return FailedAttempt(
         f'upstream failed with {status}', may_have_run=True, reached=True
     )
 
--- a/linnetwind/rollout.py
+++ b/linnetwind/rollout.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MapWish:
+class TargetMap:
     """The map to switch to, with a version that was never used before."""
 
     version: int
@@ -101,7 +101,7 @@
 
 
 def next_round(
-    reports: Reports, target: MapWish | None, lead: int = LEAD_PASSES
+    reports: Reports, target: TargetMap | None, lead: int = LEAD_PASSES
 ) -> Round:
     """Decide the next orders.
 
@@ -138,7 +138,7 @@
 
 
 def _resolve_held_pass(
-    reports: Reports, held: int, target: MapWish | None
+    reports: Reports, held: int, target: TargetMap | None
 ) -> Round:
     """Resolve a held pass: agree on one version, arm all ranks, release."""
     versions = {_armable_version(each) for each in reports.values()}
@@ -167,7 +167,7 @@
     return Round('arming', tuple(commands))
 
 
-def _start_over(reports: Reports, target: MapWish | None) -> Round:
+def _start_over(reports: Reports, target: TargetMap | None) -> Round:
     """Abandon a version with which not all ranks can be armed any more."""
     newest = max(report.prepared or 0 for report in reports.values())
     superseded = [
@@ -186,7 +186,7 @@
     )
 
 
-def _is_stale(reports: Reports, target: MapWish) -> bool:
+def _is_stale(reports: Reports, target: TargetMap) -> bool:
     """Return whether a rank has already seen a newer version than the target.
 
     That rank refuses the older version for ever. A planner that kept ordering
@@ -219,7 +219,7 @@
     return report.prepared if report.armed is None else report.armed
 
 
-def _ranks_to_prepare(reports: Reports, target: MapWish) -> list[int]:
+def _ranks_to_prepare(reports: Reports, target: TargetMap) -> list[int]:
     return [
         rank
         for rank, report in reports.items()
@@ -228,7 +228,7 @@
 
 
 def _prepare_commands(
-    reports: Reports, ranks: list[int], target: MapWish
+    reports: Reports, ranks: list[int], target: TargetMap
 ) -> tuple[RankCommand, ...]:
     commands = []
     for rank in ranks:
--- a/linnetwind/rollout_test.py
+++ b/linnetwind/rollout_test.py
@@ -16,7 +16,7 @@
 from linnetwind.rollout import (
     LEAD_PASSES,
     LONG_LEAD_PASSES,
-    MapWish,
+    TargetMap,
     RankCommand,
     Round,
     is_whole,
@@ -148,7 +148,7 @@
     assert group.obey(RankCommand(0, HoldPass(2, 1, 0)))
     needed = next_round(group.reports(), None)
     assert needed.stage == 'a new map is needed'
-    target = MapWish(2000, ('b',))
+    target = TargetMap(2000, ('b',))
     stages = []
     for _round in range(20):
         decided = next_round(group.reports(), target)
@@ -178,13 +178,13 @@
 def test_no_orders_while_a_rank_is_missing():
     reports = GroupModel(4).reports()
     del reports[2]
-    assert next_round(reports, MapWish(1000, ())).commands == ()
+    assert next_round(reports, TargetMap(1000, ())).commands == ()
 
 
 def test_no_orders_across_epochs():
     reports = GroupModel(4).reports()
     reports[2] = replace(reports[2], epoch=2)
-    assert next_round(reports, MapWish(1000, ())).commands == ()
+    assert next_round(reports, TargetMap(1000, ())).commands == ()
     assert not rollout.is_whole(reports)
 
 
@@ -192,7 +192,7 @@
     """Switch one map in 72 ranks; return how many passes were blocked."""
     source = random.Random(seed)
     group = GroupModel(72)
-    target = MapWish(1000, ('a',))
+    target = TargetMap(1000, ('a',))
     blocked = 0
     for _round in range(60):
         decided = next_round(group.reports(), target, lead)
@@ -233,7 +233,7 @@
 
 RANKS = 3
 FIRST, SECOND, THIRD = (
-    MapWish(version, (name,))
+    TargetMap(version, (name,))
     for version, name in ((1000, 'a'), (2000, 'b'), (2500, 'c'))
 )
 REPLAYED = (None, PrepareMap, ArmMap, DisarmMap, HoldPass, ReleasePass)
--- a/linnetwind/routes.py
+++ b/linnetwind/routes.py
@@ -47,13 +47,13 @@
     resumable: bool
 
     @property
-    def repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request may be run by more than one upstream."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineProfile:
     """The configured capacity and costs of a service's engines.
 
     A pass consists of `steps_per_pass` token steps. A step takes `step_ms`
@@ -92,7 +92,7 @@
     name: str
     health_path: str
     max_connections: int
-    engine: EngineFigures | None
+    engine: EngineProfile | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetwind/routes_test.py
+++ b/linnetwind/routes_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from linnetwind.call_policy import Allowed, Denied, allow
-from linnetwind.call_types import CallFacts
+from linnetwind.call_types import RequestFacts
 from linnetwind.routes import WeightedService, choose_service, find_route
 from standins.gateway_fixtures import make_route, make_table
 
@@ -42,7 +42,7 @@
 
 
 def _facts(path='/x/1', key=None):
-    return CallFacts('id', 'a.example', path, timedelta(1), key, None, '')
+    return RequestFacts('id', 'a.example', path, timedelta(1), key, None, '')
 
 
 @pytest.mark.parametrize(
--- a/linnetwind/routing.py
+++ b/linnetwind/routing.py
@@ -204,7 +204,7 @@
     return f'shortest expected time of {len(sample)} sampled'
 
 
-def choose_home(
+def choose_slot_owner(
     candidates: Sequence[Candidate], service: str, slot: int
 ) -> Choice | NoCandidate:
     """Choose the upstream whose side daemon owns a slot.
--- a/linnetwind/service_room.py
+++ b/linnetwind/service_capacity.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from linnetwind.group_room import (
+from linnetwind.group_capacity import (
     GROUP_EXPIRY,
     GroupCapacity,
     GroupCount,
@@ -13,17 +13,17 @@
     rate,
     unavailable_for,
 )
-from linnetwind.lives import Life
-from linnetwind.peer_book import PassPart, StreamLoad
-from linnetwind.place_shares import Demand, own_share
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.peer_table import PassTimePerStream, StreamLoad
+from linnetwind.permit_shares import Demand, own_share
 from linnetwind.ranks_by_group import SortedRanks
-from linnetwind.routes import EngineFigures
-from linnetwind.stream_gate import (
-    GroupView,
+from linnetwind.routes import EngineProfile
+from linnetwind.admission_policy import (
+    CapacityView,
     reserve_for_arrivals,
     reserve_for_newcomers,
 )
-from linnetwind.waiting_line import WaitQueue
+from linnetwind.wait_queue import WaitQueue
 
 # The number of recent starts from which the time of the next one is estimated,
 # and the quantile of their times that is the estimate.
@@ -69,9 +69,9 @@
     arrivals: deque[timedelta] = field(default_factory=deque)
     newcomers: deque[timedelta] = field(default_factory=deque)
     starts: deque[timedelta] = field(default_factory=_no_starts)
-    engine: EngineFigures | None = None
+    engine: EngineProfile | None = None
     groups: dict[str, GroupCapacity] = field(default_factory=dict)
-    group_of: dict[Life, str] = field(default_factory=dict)
+    group_of: dict[UpstreamIncarnation, str] = field(default_factory=dict)
     sorted_ranks: SortedRanks | None = None
     first_asked_at: timedelta | None = None
     probed_at: timedelta | None = None
@@ -91,7 +91,7 @@
 
 def capacity_view(
     service: ServiceCapacity, counts: Mapping[str, GroupCount], now: timedelta
-) -> GroupView:
+) -> CapacityView:
     """Return the capacity on which the admission of a stream is decided.
 
     Args:
@@ -122,7 +122,7 @@
         reserve_for_arrivals(free, rate(service.arrivals, now), ends),
         reserve_for_newcomers(rate(service.newcomers, now)),
     )
-    return GroupView(
+    return CapacityView(
         free,
         ends,
         _start_time(service),
@@ -147,7 +147,7 @@
     """
     demand = _demand(service, now)
     parts = [
-        PassPart(group, *estimate_part(each, now, service.engine))
+        PassTimePerStream(group, *estimate_part(each, now, service.engine))
         for group, each in service.groups.items()
     ]
     return StreamLoad(
@@ -185,7 +185,7 @@
 
 def _view_without_summary(
     service: ServiceCapacity, counts: Mapping[str, GroupCount], now: timedelta
-) -> GroupView:
+) -> CapacityView:
     """Return the capacity before any planner has sent a summary of a group."""
     forming = timedelta(milliseconds=service.engine.form_ms)
     running = sum(each.own_running for each in counts.values())
@@ -196,7 +196,7 @@
         and now - service.probed_at < _PROBE_INTERVAL
     )
     probes = 0 if probed_lately else _PROBES
-    return GroupView(0, 0, _start_time(service), forming, probes=probes)
+    return CapacityView(0, 0, _start_time(service), forming, probes=probes)
 
 
 def _awaits_first_summary(service: ServiceCapacity, now: timedelta) -> bool:
--- a/linnetwind/repeat_budget.py
+++ b/linnetwind/shared_retry_budget.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetTerms:
+class RetryBudgetTerms:
     """The terms of the shared budget.
 
     Within `window`, the retries of all daemons may be `ratio` times their
@@ -36,7 +36,7 @@
 class WindowedRetryBudget:
     """The retries that this daemon may still send to one service."""
 
-    def __init__(self, terms: BudgetTerms) -> None:
+    def __init__(self, terms: RetryBudgetTerms) -> None:
         """Start with nothing spent.
 
         Args:
@@ -94,10 +94,10 @@
                 times.popleft()
 
 
-class SharedRepeats:
+class SharedRetryBudget:
     """This daemon's budgets for all services; may be used from any thread."""
 
-    def __init__(self, terms: BudgetTerms, clock: Clock) -> None:
+    def __init__(self, terms: RetryBudgetTerms, clock: Clock) -> None:
         """Start as the only daemon.
 
         Args:
@@ -110,7 +110,7 @@
         self._daemons = 1
         self._budgets: dict[str, WindowedRetryBudget] = {}
 
-    def share_among(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Set how many daemons share the allowance.
 
         Args:
--- a/linnetwind/repeat_budget_test.py
+++ b/linnetwind/shared_retry_budget_test.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from linnetwind.repeat_budget import BudgetTerms, WindowedRetryBudget
+from linnetwind.shared_retry_budget import RetryBudgetTerms, WindowedRetryBudget
 
 SECOND = timedelta(seconds=1)
-TERMS = BudgetTerms(10 * SECOND, 0.2, 88)
+TERMS = RetryBudgetTerms(10 * SECOND, 0.2, 88)
 
 
 @pytest.mark.parametrize('daemons', [1, 4, 16])
@@ -32,7 +32,7 @@
 
 
 def test_spent_retries_expire_with_the_window():
-    budget = WindowedRetryBudget(BudgetTerms(10 * SECOND, 0.0, 10))
+    budget = WindowedRetryBudget(RetryBudgetTerms(10 * SECOND, 0.0, 10))
     while budget.spend(SECOND, 1):
         continue
     assert not budget.spend(10 * SECOND, 1)
--- a/linnetwind/shares.py
+++ b/linnetwind/shares.py
@@ -17,14 +17,14 @@
 
 # The demand of an entry daemon that has not sent any for this long is
 # discarded, since the daemon has stopped.
-FORGET_AFTER = timedelta(seconds=5)
+DEMAND_EXPIRY = timedelta(seconds=5)
 
 # This fraction of the limit is divided evenly, so that an entry daemon that
 # sees a customer for the first time can serve it before the owner has replied.
 _EVEN_FRACTION = 0.1
 
 
-class ShareHome:
+class ShareAllocator:
     """Allocates limits from the demands that one owner knows."""
 
     def __init__(self, clock: Clock) -> None:
@@ -37,7 +37,7 @@
         self._last_seen: dict[str, timedelta] = {}
         self._demand_by_customer: dict[str, dict[str, float]] = {}
 
-    def take(self, demand: Demand) -> Shares:
+    def apply_demand(self, demand: Demand) -> Shares:
         """Apply the demand of an entry daemon.
 
         Args:
@@ -67,7 +67,7 @@
         return _EVEN_FRACTION * even + (1 - _EVEN_FRACTION) * by_demand
 
     def _expire_demands(self) -> None:
-        oldest = self._clock.elapsed() - FORGET_AFTER
+        oldest = self._clock.elapsed() - DEMAND_EXPIRY
         expired = [
             entry
             for entry, seen_at in self._last_seen.items()
@@ -79,7 +79,7 @@
                 demand_by_entry.pop(entry, None)
 
 
-def home_of(customer: str, sides: Sequence[str]) -> str | None:
+def share_owner(customer: str, sides: Sequence[str]) -> str | None:
     """Return the side daemon that divides a customer's limits.
 
     Args:
--- a/linnetwind/side_calls.py
+++ b/linnetwind/side_calls.py
@@ -11,10 +11,10 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import Clock
-from linnetwind.gate import Action, Gate, Refuse, Start
-from linnetwind.messages import Call, End, Fate, Head, Lost, Refused
+from linnetwind.call_admission import Action, CallAdmission, Refuse, StartCall
+from linnetwind.messages import Call, End, CallStatus, Head, Lost, Refused
 from linnetwind.outcome import Reason
-from linnetwind.upstream_http import UpstreamRun, backoff_asked
+from linnetwind.upstream_http import UpstreamHttpCall, requested_backoff
 
 Send = Callable[[Any], bool]
 
@@ -25,7 +25,7 @@
 class _PendingCall:
     call: Call
     send: Send
-    run: UpstreamRun | None = None
+    run: UpstreamHttpCall | None = None
 
 
 class UpstreamCalls:
@@ -34,7 +34,7 @@
     def __init__(
         self,
         address: Address,
-        admission: Gate,
+        admission: CallAdmission,
         executor: Executor,
         clock: Clock,
     ) -> None:
@@ -54,7 +54,7 @@
         self._lock = threading.RLock()
 
     @property
-    def admission(self) -> Gate:
+    def admission(self) -> CallAdmission:
         """Return the admission control, whose figures go into load reports."""
         return self._admission
 
@@ -79,7 +79,7 @@
                 self._pending[call.call_id] = _PendingCall(call, send)
                 self._execute(actions)
 
-    def withdraw(self, call_id: str) -> Fate:
+    def withdraw(self, call_id: str) -> CallStatus:
         """Bar a call from starting unless it has started already.
 
         Args:
@@ -92,7 +92,7 @@
             started = self._admission.withdraw(call_id)
             if not started:
                 self._pending.pop(call_id, None)
-            return Fate(call_id, started)
+            return CallStatus(call_id, started)
 
     def cancel(self, call_id: str) -> None:
         """Cancel a call whose caller has disconnected.
@@ -127,7 +127,7 @@
     def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Start(call_id):
+                case StartCall(call_id):
                     self._executor.submit(self._run, self._pending[call_id])
                 case Refuse():
                     self._refuse(action)
@@ -141,7 +141,7 @@
     def _run(self, pending: _PendingCall) -> None:
         call = pending.call
         started = self._clock.elapsed()
-        pending.run = UpstreamRun(self._address, call)
+        pending.run = UpstreamHttpCall(self._address, call)
         complete = False
         try:
             complete = self._relay(pending, pending.run)
@@ -153,7 +153,7 @@
                 call, self._clock.elapsed() - started, complete=complete
             )
 
-    def _relay(self, pending: _PendingCall, run: UpstreamRun) -> bool:
+    def _relay(self, pending: _PendingCall, run: UpstreamHttpCall) -> bool:
         delivered = True
         complete = False
         for frame in run.answers():
@@ -171,7 +171,7 @@
         return complete
 
     def _apply_backoff(self, head: Head) -> None:
-        backoff = backoff_asked(head)
+        backoff = requested_backoff(head)
         if backoff is None:
             return
         logger.info(
--- a/linnetwind/side_calls_test.py
+++ b/linnetwind/side_calls_test.py
@@ -6,7 +6,7 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock
-from linnetwind.gate import Gate
+from linnetwind.call_admission import CallAdmission
 from linnetwind.messages import Call, Head, Refused
 from linnetwind.outcome import Reason
 from linnetwind.side_calls import UpstreamCalls
@@ -33,7 +33,7 @@
         self.upstream = ScriptedUpstream(script)
         self._calls = UpstreamCalls(
             Address('127.0.0.1', self.upstream.port),
-            Gate(4, self.clock),
+            CallAdmission(4, self.clock),
             InlineExecutor(),
             self.clock,
         )
--- a/linnetwind/side_daemon.py
+++ b/linnetwind/side_daemon.py
@@ -14,14 +14,14 @@
 from linnetwind.clock import SystemClock
 from linnetwind.config import Base, ServiceKind, Upstream
 from linnetwind.config_fold import ConfigState
-from linnetwind.config_merge import at_site
-from linnetwind.engine_feed import EngineFeed, EngineNews
-from linnetwind.gate import Gate
+from linnetwind.config_merge import effective_base
+from linnetwind.engine_feed import EngineFeed, EngineUpdates
+from linnetwind.call_admission import CallAdmission
 from linnetwind.hosts_http import host_list_interval
 from linnetwind.hosts_port import HostState
 from linnetwind.keyed_calls import KeyedCalls
-from linnetwind.messages import Leaving, Load
-from linnetwind.peer import Identity
+from linnetwind.messages import Leaving, LoadReport
+from linnetwind.peer_connection import Identity
 from linnetwind.platform_clients import (
     make_claim_log,
     make_follower,
@@ -29,7 +29,7 @@
     make_platform_log,
 )
 from linnetwind.settings import SideSettings
-from linnetwind.shares import ShareHome
+from linnetwind.shares import ShareAllocator
 from linnetwind.side_calls import UpstreamCalls
 from linnetwind.side_groups import SideGroups
 from linnetwind.side_server import SideHandlers, SideServer
@@ -40,7 +40,7 @@
 _MIN_REPORT_SECONDS = 0.5
 _REPORT_SECONDS_PER_HOST = 0.015
 _MS = timedelta(milliseconds=1)
-_NO_UPDATES = EngineNews()
+_NO_UPDATES = EngineUpdates()
 
 
 class SideDaemon:
@@ -61,7 +61,7 @@
         self._calls = {
             served.name: UpstreamCalls(
                 served.address,
-                Gate(_INITIAL_CONCURRENCY, self._clock),
+                CallAdmission(_INITIAL_CONCURRENCY, self._clock),
                 self._executor,
                 self._clock,
             )
@@ -101,7 +101,7 @@
             self._calls,
             self._follower,
             SideHandlers(
-                ShareHome(self._clock).take,
+                ShareAllocator(self._clock).apply_demand,
                 self._groups.deliver_note,
                 self._keyed.handle,
             ),
@@ -161,7 +161,7 @@
     def _apply_state(self, state: ConfigState) -> None:
         if state.deployment is None:
             return
-        base = at_site(state.deployment, self._settings.site)
+        base = effective_base(state.deployment, self._settings.site)
         for upstream in _all_upstreams(base):
             calls = self._calls.get(upstream.name)
             if calls is not None:
@@ -228,23 +228,23 @@
         self._keyed.flush()
         for name, calls in self._calls.items():
             admission = calls.admission
-            news = (
-                self._feeds[name].news()
+            updates = (
+                self._feeds[name].updates()
                 if name in self._models
                 else _NO_UPDATES
             )
             self._running.labels(name).set(admission.running)
             self._server.report(
-                Load(
+                LoadReport(
                     name,
                     admission.running,
                     admission.waiting,
-                    news.step_ms,
+                    updates.step_ms,
                     admission.service_time / _MS,
                     0,
                     0,
-                    news.cached,
-                    news.uncached,
+                    updates.cached,
+                    updates.uncached,
                 )
             )
 
--- a/linnetwind/side_groups.py
+++ b/linnetwind/side_groups.py
@@ -12,8 +12,8 @@
 from linnetwind.hosts_port import Host
 from linnetwind.log_port import LogPort
 from linnetwind.messages import GroupNote
-from linnetwind.peer import Identity
-from linnetwind.peers import PeerLinks
+from linnetwind.peer_connection import Identity
+from linnetwind.peer_links import PeerLinks
 from linnetwind.rank_engine import RankEngine
 from linnetwind.settings import ServedUpstream
 
@@ -84,7 +84,7 @@
         """
         runner = self._runners.get((note.group, note.target))
         if runner is not None:
-            runner.take(note)
+            runner.enqueue_note(note)
 
     def stop(self) -> None:
         """Stop all runners."""
@@ -100,7 +100,7 @@
         rank = group.ranks.index(served.name)
         runner = self._runners.get((group.name, rank))
         if runner is not None:
-            runner.take_group(group)
+            runner.update_group(group)
             return
         runner = self._make_runner(group, rank, served, hosts)
         self._runners[group.name, rank] = runner
--- a/linnetwind/side_server.py
+++ b/linnetwind/side_server.py
@@ -11,28 +11,28 @@
 from websockets.sync.server import Server, ServerConnection, serve
 
 from linnetwind.address import Address
-from linnetwind.follower import Follower
+from linnetwind.config_follower import ConfigFollower
 from linnetwind.messages import (
     Call,
     Cancel,
     ConfigCopy,
     ConfigQuery,
     Demand,
-    Fate,
-    FateQuery,
+    CallStatus,
+    CallStatusQuery,
     GroupNote,
     Hello,
     Leaving,
-    Load,
+    LoadReport,
     Refused,
 )
 from linnetwind.outcome import Reason
-from linnetwind.peer import (
+from linnetwind.peer_connection import (
     MAX_FRAME_BYTES,
     Identity,
     receive_message,
     send_message,
-    welcome,
+    accept_handshake,
 )
 from linnetwind.side_calls import Send, UpstreamCalls
 
@@ -68,7 +68,7 @@
         identity: Identity,
         key: bytes,
         upstreams: Mapping[str, UpstreamCalls],
-        follower: Follower,
+        follower: ConfigFollower,
         handlers: SideHandlers,
     ) -> None:
         """Create the server without binding an address.
@@ -128,7 +128,7 @@
         for socket, _peer in self._entries():
             send_message(socket, message)
 
-    def report(self, load: Load) -> None:
+    def report(self, load: LoadReport) -> None:
         """Send the load report of an upstream to every entry daemon.
 
         Args:
@@ -148,7 +148,7 @@
 
     def _serve(self, socket: ServerConnection) -> None:
         offset = self._follower.state.next_offset
-        match welcome(socket, self._identity, self._key, offset):
+        match accept_handshake(socket, self._identity, self._key, offset):
             case Ok(hello):
                 self._serve_peer(socket, _Peer(hello))
             case Err(lost):
@@ -192,7 +192,7 @@
             case Cancel(call_id):
                 for calls in self._upstreams.values():
                     calls.cancel(call_id)
-            case FateQuery(call_id):
+            case CallStatusQuery(call_id):
                 send(self._query_status(call_id))
             case ConfigQuery(offset):
                 self._send_configuration(offset, send)
@@ -216,12 +216,12 @@
         else:
             self._handlers.keyed(call, send, calls)
 
-    def _query_status(self, call_id: str) -> Fate:
+    def _query_status(self, call_id: str) -> CallStatus:
         started_flags = [
             calls.withdraw(call_id).started
             for calls in self._upstreams.values()
         ]
-        return Fate(call_id, any(started_flags))
+        return CallStatus(call_id, any(started_flags))
 
     def _send_configuration(self, offset: int, send: Send) -> None:
         state = self._follower.state
--- a/linnetwind/store_pace.py
+++ b/linnetwind/store_rate_limit.py
@@ -27,20 +27,20 @@
 # force: two seconds if there are few daemons. If there are many, a daemon
 # with a hanging connection learns of a newer configuration from the others.
 _POLL_WAIT_MS = 900
-POLL_WAIT = timedelta(milliseconds=_POLL_WAIT_MS)
+DEFAULT_POLL_WAIT = timedelta(milliseconds=_POLL_WAIT_MS)
 _MAX_POLL_WAIT_MS = 1_800
 _MAX_POLL_WAIT = timedelta(milliseconds=_MAX_POLL_WAIT_MS)
 
 
 @dataclass(frozen=True, slots=True)
-class StorePace:
+class StoreRateLimit:
     """The interval after each read, and how long a read waits for records."""
 
     interval: timedelta
     wait: timedelta
 
 
-def configuration_pace(daemons: int) -> StorePace:
+def configuration_rate_limit(daemons: int) -> StoreRateLimit:
     """Return the rate limit for reads of the configuration.
 
     Args:
@@ -49,12 +49,13 @@
     Returns:
       The rate limit.
     """
-    return StorePace(
-        _CONFIGURATION_INTERVAL, _scale(POLL_WAIT, daemons, _MAX_POLL_WAIT)
+    return StoreRateLimit(
+        _CONFIGURATION_INTERVAL,
+        _scale(DEFAULT_POLL_WAIT, daemons, _MAX_POLL_WAIT),
     )
 
 
-def upstreams_pace(daemons: int) -> StorePace:
+def upstreams_rate_limit(daemons: int) -> StoreRateLimit:
     """Return the rate limit for reads of the list of upstreams.
 
     Args:
@@ -63,8 +64,8 @@
     Returns:
       The rate limit.
     """
-    return StorePace(
-        _scale(_UPSTREAMS_INTERVAL, daemons, _MAX_INTERVAL), POLL_WAIT
+    return StoreRateLimit(
+        _scale(_UPSTREAMS_INTERVAL, daemons, _MAX_INTERVAL), DEFAULT_POLL_WAIT
     )
 
 
--- a/linnetwind/stream_room.py
+++ b/linnetwind/stream_admission_control.py
@@ -11,41 +11,41 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.group_breaks import note_crash
-from linnetwind.group_room import (
-    UNNAMED,
+from linnetwind.group_outages import record_crash
+from linnetwind.group_capacity import (
+    UNNAMED_GROUP,
     GroupCapacity,
     GroupCount,
     expire_times,
     group_stream_limit,
     opens_in,
     recent_summary,
-    take_brief,
+    apply_summary,
     unavailable_for,
 )
-from linnetwind.lives import Life
-from linnetwind.pass_meter import Pause
-from linnetwind.peer_book import (
-    GroupBrief,
+from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.pass_time_estimator import Pause
+from linnetwind.peer_table import (
+    GroupSummary,
     PeerState,
     StreamLoad,
 )
-from linnetwind.place_shares import compute_allowance
+from linnetwind.permit_shares import compute_allowance
 from linnetwind.ranks_by_group import sort_ranks
 from linnetwind.routes import RoutedService
-from linnetwind.service_room import (
+from linnetwind.service_capacity import (
     ServiceCapacity,
     capacity_view,
     expire_groups,
     permit_share,
     stream_load,
 )
-from linnetwind.stream_gate import GroupView, TurnAway
+from linnetwind.admission_policy import CapacityView, RejectStream
 from linnetwind.upstream_list import Upstream
-from linnetwind.waiting_line import Claim, WaitQueue
+from linnetwind.wait_queue import PermitRequest, WaitQueue
 
 
-class StreamRoom:
+class StreamAdmission:
     """The admission control of one daemon; methods are thread-safe.
 
     It holds the state of each service, with its groups and its wait queue.
@@ -61,14 +61,14 @@
         self._lock = threading.Lock()
         self._services: dict[str, ServiceCapacity] = {}
 
-    def enter(
+    def acquire_permit(
         self,
         service: str,
-        request: Claim,
-        read_view: Callable[[timedelta], GroupView],
+        request: PermitRequest,
+        read_view: Callable[[timedelta], CapacityView],
         acquire: Callable[[], Upstream | None],
         has_time: Callable[[], bool],
-    ) -> Upstream | TurnAway | None:
+    ) -> Upstream | RejectStream | None:
         """Queue a stream until it is admitted to a group or rejected.
 
         Args:
@@ -91,14 +91,14 @@
             if not request.returning:
                 state.newcomers.append(now)
                 expire_times(state.newcomers, now)
-        return state.queue.enter(request, read_view, acquire, has_time)
+        return state.queue.acquire_permit(request, read_view, acquire, has_time)
 
     def wake(self) -> None:
         """Make all queues check the capacity, which may have changed."""
         for state in list(self._services.values()):
             state.queue.wake()
 
-    def note_pause(
+    def record_pause(
         self, upstream: Upstream, length: timedelta, running: int
     ) -> None:
         """Record a pause between two events of a stream.
@@ -115,7 +115,7 @@
             skew = summary.skew if summary else 0
             group.estimator.record(Pause(now, length, running, skew))
 
-    def note_start(self, service: str, took: timedelta) -> None:
+    def record_start(self, service: str, took: timedelta) -> None:
         """Record the time from a stream's start to its first event.
 
         Args:
@@ -129,7 +129,7 @@
         if is_first:
             state.queue.wake()
 
-    def note_end(self, upstream: Upstream) -> None:
+    def record_end(self, upstream: Upstream) -> None:
         """Record the end of a request, and wake the service's queue.
 
         Args:
@@ -143,7 +143,7 @@
             expire_times(ends, now)
         state.queue.wake()
 
-    def take_brief(self, summary: GroupBrief) -> None:
+    def apply_summary(self, summary: GroupSummary) -> None:
         """Apply the planner's summary of a group.
 
         Args:
@@ -153,7 +153,7 @@
         with self._lock:
             state = self._service(summary.service)
             group = state.groups.setdefault(summary.group, GroupCapacity())
-            take_brief(group, summary, now)
+            apply_summary(group, summary, now)
             expire_groups(state, now)
             others = {
                 life: name
@@ -165,7 +165,9 @@
             if group_of != state.group_of:
                 state.group_of = group_of
 
-    def note_crash(self, service: str, life: Life, at: timedelta) -> bool:
+    def record_crash(
+        self, service: str, life: UpstreamIncarnation, at: timedelta
+    ) -> bool:
         """Record the crash of a rank, which breaks its group.
 
         Args:
@@ -178,10 +180,10 @@
         """
         with self._lock:
             state = self._service(service)
-            name = state.group_of.get(life, UNNAMED)
+            name = state.group_of.get(life, UNNAMED_GROUP)
             group = state.groups.setdefault(name, GroupCapacity())
             before = group.health
-            group.health = note_crash(before, at)
+            group.health = record_crash(before, at)
             return before.broken_at is None and group.health != before
 
     def outages(self, service: str) -> dict[str, timedelta]:
@@ -223,7 +225,7 @@
     def group_of(self, upstream: Upstream) -> str:
         """Return the name of the group that a rank belongs to."""
         groups = self._service(upstream.service).group_of
-        return groups.get(upstream.life, UNNAMED)
+        return groups.get(upstream.life, UNNAMED_GROUP)
 
     def by_group(
         self, service: str, upstreams: Sequence[Upstream]
@@ -263,7 +265,7 @@
         counts: Mapping[str, GroupCount],
         peers: Sequence[PeerState],
         send_interval: timedelta,
-    ) -> GroupView:
+    ) -> CapacityView:
         """Return the present capacity of a service's rank groups.
 
         Args:
@@ -306,7 +308,7 @@
                     count.ranks,
                     parts,
                 )
-                group.use = count.running / limit
+                group.utilization = count.running / limit
                 if now - group.allowance.at >= send_interval:
                     group.allowance = compute_allowance(
                         now,
@@ -317,7 +319,7 @@
                     )
             return capacity_view(state, counts, now)
 
-    def places(
+    def free_permits(
         self, service: str, counts: Mapping[str, GroupCount]
     ) -> dict[str, int]:
         """Return the permits that this daemon may use in each open group.
@@ -351,7 +353,7 @@
                 if state.engine is not None
             )
 
-    def use(self, service: str, group: str) -> float:
+    def utilization(self, service: str, group: str) -> float:
         """Return the share of a group's limit that is in use.
 
         Args:
@@ -364,9 +366,9 @@
         """
         with self._lock:
             known = self._service(service).groups.get(group)
-            return known.use if known else 1
+            return known.utilization if known else 1
 
-    def slow(self, service: str) -> frozenset[Life]:
+    def slow(self, service: str) -> frozenset[UpstreamIncarnation]:
         """Return the incarnations of the ranks that run slowly.
 
         Args:
--- a/linnetwind/stream_room_test.py
+++ b/linnetwind/stream_admission_control_test.py
@@ -3,10 +3,10 @@
 from datetime import UTC, datetime, timedelta
 
 from linnetwind.clock import ManualClock
-from linnetwind.group_room import GroupCount
-from linnetwind.peer_book import GroupBrief
+from linnetwind.group_capacity import GroupCount
+from linnetwind.peer_table import GroupSummary
 from linnetwind.routes import RoutedService
-from linnetwind.stream_room import StreamRoom
+from linnetwind.stream_admission_control import StreamAdmission
 from standins.gateway_fixtures import MS, make_engine, make_upstream
 
 SERVICE = RoutedService('model', '/health', 248, make_engine())
@@ -25,7 +25,7 @@
 
     def __init__(self):
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-        self.admission = StreamRoom(self.clock)
+        self.admission = StreamAdmission(self.clock)
         self.send_summary('a', RANKS_A)
         self.send_summary('b', RANKS_B)
 
@@ -33,8 +33,8 @@
         """Apply a summary of the planner."""
         fields = {'is_open': True, 'skew': 1.2, 'opens_in_ms': 0, **changes}
         lives = tuple(each.life for each in members)
-        summary = GroupBrief('model', group, 1, members=lives, **fields)
-        self.admission.take_brief(summary)
+        summary = GroupSummary('model', group, 1, members=lives, **fields)
+        self.admission.apply_summary(summary)
 
     def snapshot(self, in_a, in_b, ranks=16):
         """Return the capacity, and the permits of each group."""
@@ -44,13 +44,13 @@
             'b': GroupCount(in_b, in_b, ranks),
         }
         view = self.admission.view(SERVICE, GAP, counts, (), SEND_INTERVAL)
-        return view, self.admission.places('model', counts)
+        return view, self.admission.free_permits('model', counts)
 
     def record_pauses(self, upstream, length, running):
         """Record pauses between events for a second."""
         for _event in range(20):
             self.clock.advance(50 * MS)
-            self.admission.note_pause(upstream, length, running)
+            self.admission.record_pause(upstream, length, running)
 
 
 def test_a_slow_group_does_not_reduce_the_permits_of_a_healthy_one():
@@ -134,13 +134,13 @@
     # were refused.
     daemon = LoneDaemon()
     daemon.clock.advance(SEND_INTERVAL)
-    assert daemon.admission.note_crash(
+    assert daemon.admission.record_crash(
         'model', RANKS_B[0].life, daemon.clock.elapsed()
     )
     _view, permits = daemon.snapshot(in_a=10, in_b=0)
     assert list(permits) == ['a']
     assert daemon.admission.opens_in('model') is None
-    daemon.admission.note_crash(
+    daemon.admission.record_crash(
         'model', RANKS_A[0].life, daemon.clock.elapsed()
     )
     view, _permits = daemon.snapshot(in_a=10, in_b=0)
@@ -155,7 +155,7 @@
     # a summary the groups were assumed to be open, and 310 streams were sent to
     # ranks that refused them.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    admission = StreamRoom(clock)
+    admission = StreamAdmission(clock)
     counts = {'': GroupCount(0, 0, 16)}
     view = admission.view(SERVICE, GAP, counts, (), SEND_INTERVAL)
     assert view.opens_in == SERVICE.engine.form_ms * MS
@@ -179,12 +179,12 @@
     # All hosts have restarted and the ranks start one by one. When the group
     # was expected to take a whole outage, 332 callers were rejected for two
     # seconds although it was about to open in 0.3 s.
-    admission = StreamRoom(ManualClock(datetime(2026, 1, 1, tzinfo=UTC)))
+    admission = StreamAdmission(ManualClock(datetime(2026, 1, 1, tzinfo=UTC)))
     fields = {'is_open': False, 'skew': 3.0, 'opens_in_ms': 600, 'members': ()}
-    admission.take_brief(GroupBrief('model', 'a', 1, **fields))
+    admission.apply_summary(GroupSummary('model', 'a', 1, **fields))
     assert admission.outages('model') == {}
-    admission.take_brief(
-        GroupBrief('model', 'a', 1, **{**fields, 'is_open': True})
+    admission.apply_summary(
+        GroupSummary('model', 'a', 1, **{**fields, 'is_open': True})
     )
     assert list(admission.outages('model')) == ['a']
 
@@ -194,13 +194,13 @@
     # name. The state of that group must not hide that the named ones are
     # broken.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    admission = StreamRoom(clock)
+    admission = StreamAdmission(clock)
     admission.view(SERVICE, GAP, {'': GroupCount(0, 0, 16)}, (), SEND_INTERVAL)
     lives = tuple(each.life for each in RANKS_A)
-    admission.take_brief(GroupBrief('model', 'a', 1, True, 1.2, 0, lives))
+    admission.apply_summary(GroupSummary('model', 'a', 1, True, 1.2, 0, lives))
     clock.advance(SEND_INTERVAL)
     assert admission.opens_in('model') is None
-    admission.note_crash('model', RANKS_A[0].life, clock.elapsed())
+    admission.record_crash('model', RANKS_A[0].life, clock.elapsed())
     assert admission.opens_in('model') is not None
 
 
@@ -209,13 +209,13 @@
     # daemon waits a second for a summary, half of its callers are late.
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     clock.advance(SEND_INTERVAL)
-    admission = StreamRoom(clock)
+    admission = StreamAdmission(clock)
     counts = {'': GroupCount(1, 1, 16)}
     assert (
         admission.view(SERVICE, GAP, counts, (), SEND_INTERVAL).opens_in
         is not None
     )
-    admission.note_start('model', 170 * MS)
+    admission.record_start('model', 170 * MS)
     view = admission.view(SERVICE, GAP, counts, (), SEND_INTERVAL)
     assert view.opens_in is None
     assert view.free > 1
--- a/linnetwind/stream_backoff_test.py
+++ b/linnetwind/stream_backoff_test.py
@@ -3,19 +3,19 @@
 from datetime import UTC, datetime
 
 from linnetwind.clock import ManualClock
-from linnetwind.group_room import GroupCount
-from linnetwind.peer_book import GroupBrief
+from linnetwind.group_capacity import GroupCount
+from linnetwind.peer_table import GroupSummary
 from linnetwind.routes import RoutedService
-from linnetwind.stream_gate import (
+from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     MIN_RETRY_AFTER,
-    GroupView,
+    CapacityView,
     QueueStream,
-    TurnAway,
-    Waiter,
+    RejectStream,
+    PendingStream,
     decide_admission,
 )
-from linnetwind.stream_room import StreamRoom
+from linnetwind.stream_admission_control import StreamAdmission
 from standins.gateway_fixtures import MS, SECOND, make_engine
 from standins.stream_fixtures import FIRST
 
@@ -25,18 +25,20 @@
 
 
 def _backing_off(opens_in):
-    return GroupView(0, 40, 200 * MS, opens_in, is_backoff=True)
+    return CapacityView(0, 40, 200 * MS, opens_in, is_backoff=True)
 
 
 def _snapshot(**counts):
     """Return the capacity of healthy groups, and the permits of each."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    admission = StreamRoom(clock)
+    admission = StreamAdmission(clock)
     for name in counts:
-        admission.take_brief(GroupBrief('model', name, 1, True, 1.2, 0, ()))
+        admission.apply_summary(
+            GroupSummary('model', name, 1, True, 1.2, 0, ())
+        )
     clock.advance(SEND_INTERVAL)
     view = admission.view(SERVICE, GAP, counts, (), SEND_INTERVAL)
-    return view, admission.places('model', counts)
+    return view, admission.free_permits('model', counts)
 
 
 def test_a_stream_is_queued_until_the_end_of_a_backoff():
@@ -51,9 +53,9 @@
         decide_admission(_backing_off(5 * SECOND), FIRST).retry_after
         == 5 * SECOND
     )
-    waited = Waiter(0, MAX_RETRY_WAIT, FIRST.target, returning=True)
+    waited = PendingStream(0, MAX_RETRY_WAIT, FIRST.target, returning=True)
     decision = decide_admission(_backing_off(100 * MS), waited)
-    assert isinstance(decision, TurnAway)
+    assert isinstance(decision, RejectStream)
     assert decision.retry_after == MIN_RETRY_AFTER
 
 
--- a/linnetwind/run_times.py
+++ b/linnetwind/stream_durations.py
@@ -37,7 +37,7 @@
     return _START + slowest * tokens.answer * _MARGIN
 
 
-class RunTimes:
+class StreamDurations:
     """The time per token of recent streams, by service.
 
     May be used from any thread.
@@ -48,7 +48,9 @@
         self._lock = threading.Lock()
         self._token_times: dict[str, deque[timedelta]] = {}
 
-    def note(self, service: str, tokens: TokenCounts, took: timedelta) -> None:
+    def record_stream(
+        self, service: str, tokens: TokenCounts, took: timedelta
+    ) -> None:
         """Record a stream that has ended.
 
         Args:
@@ -63,7 +65,7 @@
             )
             recent.append(token_time)
 
-    def expect(
+    def expected_duration(
         self, service: str, tokens: TokenCounts | None
     ) -> timedelta | None:
         """Return how long a stream is expected to take at most.
--- a/linnetwind/stream_overload_test.py
+++ b/linnetwind/stream_overload_test.py
@@ -4,17 +4,17 @@
 from dataclasses import replace
 from statistics import fmean
 
-from linnetwind.stream_gate import (
+from linnetwind.admission_policy import (
     AdmitStream,
-    GroupView,
-    TurnAway,
+    CapacityView,
+    RejectStream,
     decide_admission,
     reserve_for_newcomers,
 )
 from standins.gateway_fixtures import MS, SECOND
 from standins.stream_fixtures import FIRST, TARGET
 
-FULL = GroupView(free=0, ends_per_s=13, start_time=200 * MS, opens_in=None)
+FULL = CapacityView(free=0, ends_per_s=13, start_time=200 * MS, opens_in=None)
 
 
 def _share_in_time(newcomer_reserve, seed):
@@ -40,7 +40,7 @@
             view = replace(view, free=view.free + 1)
         else:
             newcomer = replace(FIRST, ahead=len(waiting))
-            if not isinstance(decide_admission(view, newcomer), TurnAway):
+            if not isinstance(decide_admission(view, newcomer), RejectStream):
                 waiting.append(at)
         while waiting and decide_admission(view, FIRST) == AdmitStream():
             waiting.pop(0)
--- a/linnetwind/map_wish.py
+++ b/linnetwind/target_map.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from linnetwind.placement import no_pause, plan_moves, skew
-from linnetwind.placement_levels import (
+from linnetwind.placement_level_plan import (
     net_benefit,
     plan_levels,
     reaches_copy_limit,
@@ -23,8 +23,8 @@
     Plan,
 )
 from linnetwind.rank_types import RankMaps, RankReport
-from linnetwind.rollout import MapWish
-from linnetwind.routes import EngineFigures
+from linnetwind.rollout import TargetMap
+from linnetwind.routes import EngineProfile
 
 # A version is a counter times this number plus a random number below it, so
 # that versions of different planners differ.
@@ -71,7 +71,7 @@
 class PlannedMap:
     """A planning result; without a map if the one in use is to stay."""
 
-    wish: MapWish | None
+    target: TargetMap | None
     moves: int
     skew_before: float
     skew_after: float
@@ -82,7 +82,7 @@
     maps: RankMaps,
     tokens: tuple[tuple[float, ...], ...],
     reports: Mapping[int, RankReport],
-    engine: EngineFigures,
+    engine: EngineProfile,
     *,
     use: float,
     force: bool,
@@ -116,7 +116,7 @@
     next_target = None
     if force or gain >= _min_gain(use):
         target = _rank_maps(plan.target, engine)
-        next_target = MapWish(_new_version(reports), target)
+        next_target = TargetMap(_new_version(reports), target)
     else:
         reason = 'the gain is too small'
     return PlannedMap(
@@ -128,7 +128,7 @@
     maps: RankMaps,
     tokens: tuple[tuple[float, ...], ...],
     reports: Mapping[int, RankReport],
-    engine: EngineFigures,
+    engine: EngineProfile,
 ) -> float:
     """Return the skew of the map in use.
 
@@ -166,7 +166,7 @@
     return grown and 1 - 1 / current_skew >= _min_gain(use)
 
 
-def even_demand(engine: EngineFigures) -> tuple[tuple[float, ...], ...]:
+def even_demand(engine: EngineProfile) -> tuple[tuple[float, ...], ...]:
     """Return the demand to assume for a group whose demand is unknown.
 
     Args:
@@ -202,7 +202,7 @@
     )
 
 
-def _prices(engine: EngineFigures, ranks: int) -> PlacementPrices:
+def _prices(engine: EngineProfile, ranks: int) -> PlacementPrices:
     copies = MIN_COPIES_PER_RANK
     if engine.copy_ms:
         copies = max(copies, int(_COPY_TIME_MS / engine.copy_ms))
@@ -220,7 +220,7 @@
     return MIN_GAIN + (MIN_GAIN_IDLE - MIN_GAIN) * (1 - min(1, use))
 
 
-def _copy_cost(engine: EngineFigures, ranks: int) -> float:
+def _copy_cost(engine: EngineProfile, ranks: int) -> float:
     """Return the seconds that one copy costs the whole group.
 
     All ranks copy at the same time, so the time of one copy is divided by their
@@ -259,7 +259,7 @@
     return (*(demand + background for demand in layer), float(0))
 
 
-def _expert_map(maps: RankMaps, engine: EngineFigures) -> ExpertMap:
+def _expert_map(maps: RankMaps, engine: EngineProfile) -> ExpertMap:
     size = engine.slots_per_rank
     layers = tuple(
         tuple(
@@ -272,7 +272,7 @@
     return ExpertMap(size, layers)
 
 
-def _rank_maps(target: ExpertMap, engine: EngineFigures) -> RankMaps:
+def _rank_maps(target: ExpertMap, engine: EngineProfile) -> RankMaps:
     size = target.slots_per_rank
     return tuple(
         tuple(
--- a/linnetwind/map_wish_test.py
+++ b/linnetwind/target_map_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from linnetwind.map_wish import (
+from linnetwind.target_map import (
     MIN_COPIES_PER_RANK,
     can_gain,
     even_demand,
@@ -57,9 +57,9 @@
             maps, _demand(seed), REPORTS, ENGINE, use=1, force=False
         )
         skews.append(planned.skew_before)
-        if planned.wish is None:
+        if planned.target is None:
             break
-        maps = planned.wish.maps
+        maps = planned.target.maps
     assert skews[0] > 2.5
     assert planned.skew_after < 1.65
 
@@ -68,7 +68,7 @@
 def test_a_plan_keeps_the_limits_of_the_engines(seed):
     maps = _round_robin_map()
     planned = plan_map(maps, _demand(seed), REPORTS, ENGINE, use=1, force=False)
-    maps_after = planned.wish.maps
+    maps_after = planned.target.maps
     by_rank = [0] * RANKS
     for layer in _new_experts(maps, maps_after):
         for rank, new in enumerate(layer):
@@ -85,9 +85,9 @@
     maps = _round_robin_map()
     flat = even_demand(ENGINE)
     assert (
-        plan_map(maps, flat, REPORTS, ENGINE, use=1, force=False).wish is None
+        plan_map(maps, flat, REPORTS, ENGINE, use=1, force=False).target is None
     )
-    forced = plan_map(maps, flat, REPORTS, ENGINE, use=1, force=True).wish
+    forced = plan_map(maps, flat, REPORTS, ENGINE, use=1, force=True).target
     assert forced is not None
     assert forced.version > 0
 
@@ -101,7 +101,7 @@
         planned = plan_map(
             maps, _demand(1), REPORTS, ENGINE, use=1, force=False
         )
-        maps = planned.wish.maps if planned.wish else maps
+        maps = planned.target.maps if planned.target else maps
     shifted = tuple(
         tuple(
             tokens * (1.5 if expert % 5 == 0 else 1)
@@ -111,15 +111,15 @@
     )
     full = plan_map(maps, shifted, REPORTS, ENGINE, use=1, force=False)
     calm = plan_map(maps, shifted, REPORTS, ENGINE, use=0.3, force=False)
-    assert full.wish is not None
-    assert calm.wish is None
+    assert full.target is not None
+    assert calm.target is None
 
 
 def test_a_large_gain_is_planned_in_a_group_with_few_streams():
     planned = plan_map(
         _round_robin_map(), _demand(1), REPORTS, ENGINE, use=0.1, force=False
     )
-    assert planned.wish is not None
+    assert planned.target is not None
 
 
 def test_version_is_above_all_seen_versions():
@@ -127,7 +127,7 @@
     planned = plan_map(
         _round_robin_map(), _demand(1), reports, ENGINE, use=1, force=False
     )
-    assert planned.wish.version >= 8_000_000
+    assert planned.target.version >= 8_000_000
 
 
 def test_a_slow_rank_loses_popular_experts():
@@ -138,9 +138,9 @@
     reports = {**REPORTS, 5: replace(REPORTS[5], pace=3)}
     for _plan in range(4):
         planned = plan_map(maps, demand, reports, ENGINE, use=1, force=False)
-        if planned.wish is None:
+        if planned.target is None:
             break
-        maps = planned.wish.maps
+        maps = planned.target.maps
     load = sum(
         demand[number][expert] / sum(expert in experts for experts in layer)
         for number, layer in enumerate(maps)
--- a/linnetwind/upstream_claim_test.py
+++ b/linnetwind/upstream_acquisition_test.py
@@ -8,10 +8,14 @@
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
-from linnetwind.upstream_claim import RETRY_SOON, claim_upstream, next_turn
-from linnetwind.upstream_list import Registered
+from linnetwind.upstream_acquisition import (
+    MIN_RETRY_DELAY,
+    acquire_or_wait,
+    time_until_accepted,
+)
+from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import MS, SECOND, make_route, make_upstream
 
 PLAIN = RoutedService('plain', '/health', 96, None)
@@ -33,7 +37,7 @@
             request=SimpleNamespace(received=clock.elapsed()),
             route=make_route('plain', target=SECOND / 2),
             service=PLAIN,
-            claimed=None,
+            acquired=None,
             tried=set(),
         )
 
@@ -49,30 +53,32 @@
 
     def claim(self):
         """Return the upstream that the request acquires."""
-        return claim_upstream(self, self.journey)
+        return acquire_or_wait(self, self.journey)
 
 
 @pytest.fixture(name='waits')
 def _waits(monkeypatch):
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     clock.advance(10 * SECOND)
-    terms = BudgetTerms(10 * SECOND, 0.2, 88)
+    terms = RetryBudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
     waits = InstantWaits(clock, state)
-    monkeypatch.setattr('linnetwind.upstream_claim.threading', waits)
+    monkeypatch.setattr('linnetwind.upstream_acquisition.threading', waits)
     _register(state, 0, FIRST)
     return waits
 
 
 def _register(state, offset, *entries):
-    records = [Registered(each.instance, offset, each) for each in entries]
-    state.change_upstreams(lambda known: known.take(records, offset + 1))
+    records = [UpstreamRecord(each.instance, offset, each) for each in entries]
+    state.change_upstreams(
+        lambda known: known.fold_records(records, offset + 1)
+    )
 
 
 def _use_up_limit(state):
     """Record a limit, and send the whole burst that it allows."""
-    state.books.limits.record_limit(FIRST, PER_S)
-    while state.take_upstream(PLAIN, frozenset()):
+    state.request_history.limits.record_limit(FIRST, PER_S)
+    while state.acquire_upstream(PLAIN, frozenset()):
         continue
 
 
@@ -85,7 +91,7 @@
 def test_a_request_that_waited_is_not_sent_during_a_backoff(waits):
     """Guards against a backoff that starts between choice and sending."""
     _use_up_limit(waits.state)
-    waits.change = lambda: waits.state.books.backoffs.record_backoff(
+    waits.change = lambda: waits.state.request_history.backoffs.record_backoff(
         FIRST.life, BACKOFF
     )
     assert waits.claim() is None
@@ -116,7 +122,7 @@
     other = make_upstream('other', 81)
 
     def replace_first():
-        waits.state.books.backoffs.record_backoff(FIRST.life, BACKOFF)
+        waits.state.request_history.backoffs.record_backoff(FIRST.life, BACKOFF)
         _register(waits.state, 1, other)
 
     waits.change = replace_first
@@ -124,20 +130,20 @@
 
 
 def test_a_request_waits_for_a_backoff_that_ends_soon(waits):
-    waits.state.books.backoffs.record_backoff(FIRST.life, 300 * MS)
+    waits.state.request_history.backoffs.record_backoff(FIRST.life, 300 * MS)
     assert waits.claim() == FIRST
     assert waits.waited == 1
 
 
 def test_a_request_that_would_be_late_does_not_wait(waits):
     """Guards against callers that wait in vain and get no time to retry."""
-    waits.state.books.backoffs.record_backoff(FIRST.life, BACKOFF)
+    waits.state.request_history.backoffs.record_backoff(FIRST.life, BACKOFF)
     assert waits.claim() is None
     assert waits.waited == 0
-    assert next_turn(waits, waits.journey) == BACKOFF
+    assert time_until_accepted(waits, waits.journey) == BACKOFF
 
 
 def test_a_request_without_any_upstream_is_retried_soon(waits):
     _register(waits.state, 1, make_upstream('first', draining=True))
     assert waits.claim() is None
-    assert next_turn(waits, waits.journey) == RETRY_SOON
+    assert time_until_accepted(waits, waits.journey) == MIN_RETRY_DELAY
--- a/linnetwind/upstream_attempt.py
+++ b/linnetwind/upstream_attempt.py
@@ -3,21 +3,21 @@
 from datetime import timedelta
 from http import HTTPStatus
 
-from linnetwind.answer_relay import ResponseRelay
-from linnetwind.backpressure import note_backpressure
-from linnetwind.call_policy import AttemptLost
-from linnetwind.call_types import AnswerFacts, Forwarding
+from linnetwind.response_relay import ResponseRelay
+from linnetwind.backpressure import record_backpressure
+from linnetwind.call_policy import FailedAttempt
+from linnetwind.call_types import ResponseFacts, Forwarding
 from linnetwind.caller_connection import CallerConnection
-from linnetwind.crash_guard import note_if_crashed
-from linnetwind.journey import (
+from linnetwind.crash_guard import record_if_crashed
+from linnetwind.request_context import (
     CALLER_LEFT,
-    Done,
-    GatewayTools,
-    Journey,
+    RequestResult,
+    GatewayContext,
+    RequestContext,
     as_failed_attempt,
 )
 from linnetwind.routes import RouteKind
-from linnetwind.upstream_call import Head, NotReached, TimedOut, UpstreamCall
+from linnetwind.upstream_call import Head, ConnectFailed, TimedOut, UpstreamCall
 from linnetwind.upstream_list import Upstream
 
 # The fraction of the remaining time that an idempotent request waits for the
@@ -31,9 +31,9 @@
 
     def __init__(
         self,
-        tools: GatewayTools,
+        tools: GatewayContext,
         connection: CallerConnection,
-        context: Journey,
+        context: RequestContext,
         upstream: Upstream,
     ) -> None:
         """Prepare the attempt; nothing is sent yet.
@@ -49,14 +49,14 @@
         self._context = context
         self._upstream = upstream
 
-    def run(self) -> Done | AttemptLost:
+    def run(self) -> RequestResult | FailedAttempt:
         """Make the attempt.
 
         Returns:
           The result of the request, or why this upstream gave no complete
           response.
         """
-        if self._connection.left():
+        if self._connection.has_disconnected():
             return CALLER_LEFT
         started_at = self._tools.clock.elapsed()
         call = self._tools.open_call(
@@ -65,9 +65,11 @@
             self._tools.clock,
             self._context.until - started_at,
         )
-        if isinstance(call, NotReached):
-            self._tools.state.note_miss(self._upstream)
-            return AttemptLost(call.problem, may_have_run=False, reached=False)
+        if isinstance(call, ConnectFailed):
+            self._tools.state.record_connect_failure(self._upstream)
+            return FailedAttempt(
+                call.problem, may_have_run=False, reached=False
+            )
         self._context.sent_to.append(self._upstream.instance)
         self._context.current_upstream = self._upstream
         try:
@@ -80,15 +82,15 @@
     def _record_end(
         self,
         call: UpstreamCall,
-        result: Done | AttemptLost,
+        result: RequestResult | FailedAttempt,
         started_at: timedelta,
     ) -> None:
         took = self._tools.clock.elapsed() - started_at
-        self._tools.state.note_answer(
+        self._tools.state.record_answer(
             self._upstream, took, failed=_is_failure(result)
         )
         if call.broken is not None:
-            note_if_crashed(
+            record_if_crashed(
                 self._tools,
                 self._context,
                 self._upstream,
@@ -96,7 +98,7 @@
                 started_at,
             )
 
-    def _exchange(self, call: UpstreamCall) -> Done | AttemptLost:
+    def _exchange(self, call: UpstreamCall) -> RequestResult | FailedAttempt:
         context = self._context
         now = self._tools.clock.elapsed()
         forwarding = Forwarding(
@@ -112,7 +114,7 @@
         head = call.next(self._head_deadline(now))
         has_time = self._tools.clock.elapsed() < context.until
         if isinstance(head, TimedOut) and has_time:
-            return AttemptLost(
+            return FailedAttempt(
                 'silent upstream', may_have_run=True, reached=True
             )
         if not isinstance(head, Head):
@@ -121,15 +123,15 @@
 
     def _handle_head(
         self, call: UpstreamCall, head: Head
-    ) -> Done | AttemptLost:
-        response = self._tools.dialect.read_answer(head.status, head.headers)
+    ) -> RequestResult | FailedAttempt:
+        response = self._tools.dialect.read_response(head.status, head.headers)
         if response.not_executed or response.misdirected:
             self._update_instance(response)
             self._record_backpressure(response)
             reason = f'upstream refused with {head.status}'
-            return AttemptLost(reason, may_have_run=False, reached=True)
+            return FailedAttempt(reason, may_have_run=False, reached=True)
         if not self._matches_call(response):
-            return AttemptLost(
+            return FailedAttempt(
                 'not an answer to this call', may_have_run=True, reached=True
             )
         self._record_backpressure(response)
@@ -137,16 +139,20 @@
             self._tools, self._connection, self._context, call, head
         ).run()
 
-    def _record_backpressure(self, response: AnswerFacts) -> None:
-        note_backpressure(self._tools, self._context, self._upstream, response)
+    def _record_backpressure(self, response: ResponseFacts) -> None:
+        record_backpressure(
+            self._tools, self._context, self._upstream, response
+        )
 
-    def _update_instance(self, response: AnswerFacts) -> None:
+    def _update_instance(self, response: ResponseFacts) -> None:
         """Stop using the upstream if another instance has its address now."""
         if not response.misdirected or response.instance is None:
             return
         if response.instance != self._upstream.instance:
             self._tools.state.change_upstreams(
-                lambda upstreams: upstreams.replace_instance(self._upstream)
+                lambda upstreams: upstreams.bar_replaced_instance(
+                    self._upstream
+                )
             )
 
     def _head_deadline(self, now: timedelta) -> timedelta:
@@ -161,15 +167,15 @@
             return context.until
         return now + (context.until - now) * _HEAD_WAIT_FRACTION
 
-    def _matches_call(self, response: AnswerFacts) -> bool:
+    def _matches_call(self, response: ResponseFacts) -> bool:
         return (
             response.signed and response.call_id == self._context.facts.call_id
         )
 
 
-def _is_failure(result: Done | AttemptLost) -> bool:
+def _is_failure(result: RequestResult | FailedAttempt) -> bool:
     match result:
-        case AttemptLost():
+        case FailedAttempt():
             return result.may_have_run
-        case Done():
+        case RequestResult():
             return result.status >= HTTPStatus.INTERNAL_SERVER_ERROR
--- a/linnetwind/upstream_backoff.py
+++ b/linnetwind/upstream_backoff.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_list import Upstream
 
 
@@ -34,10 +34,12 @@
         """
         self._clock = clock
         self._lock = threading.Lock()
-        self._backoffs: Mapping[Life, Backoff] = {}
+        self._backoffs: Mapping[UpstreamIncarnation, Backoff] = {}
         self._last_end = timedelta()
 
-    def record_backoff(self, life: Life, length: timedelta) -> Backoff | None:
+    def record_backoff(
+        self, life: UpstreamIncarnation, length: timedelta
+    ) -> Backoff | None:
         """Record that an upstream requests a backoff from now on.
 
         Args:
@@ -58,7 +60,7 @@
                 self._last_end = max(self._last_end, until)
         return before
 
-    def remaining(self, life: Life) -> timedelta:
+    def remaining(self, life: UpstreamIncarnation) -> timedelta:
         """Return the remaining backoff of an upstream.
 
         Args:
@@ -72,7 +74,7 @@
             return timedelta()
         return max(backoff.until - self._clock.elapsed(), timedelta())
 
-    def free(self, upstreams: list[Upstream]) -> list[Upstream]:
+    def without_backoff(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Return the upstreams that have no backoff in force.
 
         Args:
@@ -87,7 +89,7 @@
             return upstreams
         return [each for each in upstreams if each.life not in backing_off]
 
-    def left_for_all(self, upstreams: Iterable[Upstream]) -> timedelta:
+    def remaining_for_all(self, upstreams: Iterable[Upstream]) -> timedelta:
         """Return the time until the first backoff of some upstreams ends.
 
         Args:
@@ -103,7 +105,7 @@
             return timedelta()
         return min(map(self.remaining, lives), default=timedelta())
 
-    def _backing_off(self) -> Collection[Life]:
+    def _backing_off(self) -> Collection[UpstreamIncarnation]:
         now = self._clock.elapsed()
         if self._last_end <= now:
             return ()
@@ -111,6 +113,6 @@
 
 
 def _in_force(
-    backoffs: Mapping[Life, Backoff], now: timedelta
-) -> dict[Life, Backoff]:
+    backoffs: Mapping[UpstreamIncarnation, Backoff], now: timedelta
+) -> dict[UpstreamIncarnation, Backoff]:
     return {life: each for life, each in backoffs.items() if now < each.until}
--- a/linnetwind/upstream_backoff_test.py
+++ b/linnetwind/upstream_backoff_test.py
@@ -40,11 +40,11 @@
 
 def test_an_upstream_in_backoff_is_left_out(clock, backoffs):
     both = [REFUSING, OTHER]
-    assert backoffs.free(both) is both
+    assert backoffs.without_backoff(both) is both
     backoffs.record_backoff(REFUSING.life, 3 * SECOND)
-    assert backoffs.free(both) == [OTHER]
+    assert backoffs.without_backoff(both) == [OTHER]
     clock.advance(3 * SECOND)
-    assert backoffs.free(both) is both
+    assert backoffs.without_backoff(both) is both
 
 
 def test_a_later_shorter_backoff_does_not_end_a_longer_one(clock, backoffs):
@@ -57,10 +57,10 @@
 
 def test_the_remaining_time_for_all_is_that_of_the_first_to_end(backoffs):
     backoffs.record_backoff(REFUSING.life, 3 * SECOND)
-    assert not backoffs.left_for_all([REFUSING, OTHER])
+    assert not backoffs.remaining_for_all([REFUSING, OTHER])
     backoffs.record_backoff(OTHER.life, SECOND)
-    assert backoffs.left_for_all([REFUSING, OTHER]) == SECOND
-    assert not backoffs.left_for_all([])
+    assert backoffs.remaining_for_all([REFUSING, OTHER]) == SECOND
+    assert not backoffs.remaining_for_all([])
 
 
 def test_the_next_incarnation_of_an_upstream_has_no_backoff(backoffs):
@@ -69,4 +69,4 @@
         make_upstream('refusing', born_ms=1).life, 3 * SECOND
     )
     restarted = make_upstream('refusing', born_ms=2)
-    assert backoffs.free([restarted]) == [restarted]
+    assert backoffs.without_backoff([restarted]) == [restarted]
--- a/linnetwind/upstream_call.py
+++ b/linnetwind/upstream_call.py
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotReached:
+class ConnectFailed:
     """The connection could not be opened, so nothing was sent."""
 
     problem: str
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class BrokenCall:
     """The connection or the response broke off; the request may have run."""
 
     problem: str
@@ -74,8 +74,8 @@
     """The response is complete."""
 
 
-Failure = NotReached | Broken | TimedOut | CallerDisconnected
-Progress = Head | BodyChunk | End | Broken | TimedOut | CallerDisconnected
+Failure = ConnectFailed | BrokenCall | TimedOut | CallerDisconnected
+Progress = Head | BodyChunk | End | BrokenCall | TimedOut | CallerDisconnected
 
 
 class UpstreamCall:
@@ -96,20 +96,20 @@
         self._caller = caller
         self._clock = clock
         self._http = h11.Connection(h11.CLIENT)
-        self._broken: Broken | None = None
+        self._broken: BrokenCall | None = None
         self._poll = select.poll()
         self._poll.register(sock, select.POLLIN)
         if caller is not None:
             self._poll.register(caller, _HANGUP_EVENTS)
 
     @property
-    def broken(self) -> Broken | None:
+    def broken(self) -> BrokenCall | None:
         """Return how the upstream broke off the call, None if it did not."""
         return self._broken
 
     def send(
         self, request: CallerRequest, headers: Headers, until: timedelta
-    ) -> Broken | CallerDisconnected | TimedOut | None:
+    ) -> BrokenCall | CallerDisconnected | TimedOut | None:
         """Send the request.
 
         An upstream may respond before it has read a long body. Sending stops
@@ -124,7 +124,7 @@
           Why the request could not be sent, None on success.
         """
         failure = self._send(request, headers, until)
-        if isinstance(failure, Broken):
+        if isinstance(failure, BrokenCall):
             self._broken = failure
         return failure
 
@@ -138,7 +138,7 @@
           The part, or why there is none.
         """
         progress = self._next(until)
-        if isinstance(progress, Broken):
+        if isinstance(progress, BrokenCall):
             self._broken = progress
         return progress
 
@@ -148,7 +148,7 @@
 
     def _send(
         self, request: CallerRequest, headers: Headers, until: timedelta
-    ) -> Broken | CallerDisconnected | TimedOut | None:
+    ) -> BrokenCall | CallerDisconnected | TimedOut | None:
         unsent = self._render(request, headers)
         self._poll.modify(self._sock, select.POLLIN | select.POLLOUT)
         while unsent:
@@ -160,7 +160,7 @@
             try:
                 sent = self._sock.send(unsent)
             except OSError as error:
-                return Broken(f'sending failed: {error}')
+                return BrokenCall(f'sending failed: {error}')
             unsent = unsent[sent:]
         self._poll.modify(self._sock, select.POLLIN)
         return None
@@ -170,7 +170,7 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                return Broken(f'not a whole answer: {error}')
+                return BrokenCall(f'not a whole answer: {error}')
             progress = _convert_event(event)
             if progress is not None:
                 return progress
@@ -196,14 +196,14 @@
 
     def _receive(
         self, until: timedelta
-    ) -> Broken | CallerDisconnected | TimedOut | None:
+    ) -> BrokenCall | CallerDisconnected | TimedOut | None:
         poll_events = self._wait(until)
         if not isinstance(poll_events, int):
             return poll_events
         try:
             received = self._sock.recv(_READ_BYTES)
         except OSError as error:
-            return Broken(f'receiving failed: {error}')
+            return BrokenCall(f'receiving failed: {error}')
         self._http.receive_data(received)
         return None
 
@@ -225,7 +225,7 @@
 
 def open_call(
     address: Address, caller: int | None, clock: Clock, timeout: timedelta
-) -> UpstreamCall | NotReached:
+) -> UpstreamCall | ConnectFailed:
     """Connect to an upstream.
 
     Args:
@@ -245,13 +245,13 @@
         _connect(sock, address)
     except OSError as error:
         sock.close()
-        return NotReached(f'{address}: {error}')
+        return ConnectFailed(f'{address}: {error}')
     return UpstreamCall(sock, caller, clock)
 
 
 def read_body_up_to(
     call: UpstreamCall, max_bytes: int, until: timedelta
-) -> tuple[bytes, bool] | Broken | TimedOut | CallerDisconnected:
+) -> tuple[bytes, bool] | BrokenCall | TimedOut | CallerDisconnected:
     """Read a body until it ends or exceeds a size.
 
     Args:
@@ -271,13 +271,13 @@
                 body += content
             case End():
                 return bytes(body), True
-            case Broken() | TimedOut() | CallerDisconnected():
+            case BrokenCall() | TimedOut() | CallerDisconnected():
                 return progress
     return bytes(body), False
 
 
 CallOpener = Callable[
-    [Address, int | None, Clock, timedelta], UpstreamCall | NotReached
+    [Address, int | None, Clock, timedelta], UpstreamCall | ConnectFailed
 ]
 
 
@@ -301,5 +301,5 @@
         case h11.EndOfMessage():
             return End()
         case h11.ConnectionClosed():
-            return Broken('the connection was closed')
+            return BrokenCall('the connection was closed')
     return None
--- a/linnetwind/upstream_choice.py
+++ b/linnetwind/upstream_choice.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
-from linnetwind.lives import Life
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_list import Upstream
 
 # The weight of the newest response in the averages of latency and failures.
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class UpstreamStats:
     """Recent statistics of the requests at an upstream.
 
     `at` is the monotonic time of the newest one, `latency` an average in
@@ -53,9 +53,9 @@
     ejected_until: timedelta = timedelta()
 
 
-def note_answer(
-    record: Record, now: timedelta, took: timedelta, *, failed: bool
-) -> Record:
+def record_answer(
+    record: UpstreamStats, now: timedelta, took: timedelta, *, failed: bool
+) -> UpstreamStats:
     """Return an upstream's statistics after a response.
 
     Args:
@@ -73,14 +73,16 @@
     if not failed:
         latency = _smooth(latency, took.total_seconds())
     failures = record.failures + SMOOTHING * (failed - record.failures)
-    return Record(now, latency, failures)
+    return UpstreamStats(now, latency, failures)
 
 
 def _smooth(before: float | None, new: float) -> float:
     return new if before is None else before + SMOOTHING * (new - before)
 
 
-def note_miss(record: Record, now: timedelta) -> Record:
+def record_connect_failure(
+    record: UpstreamStats, now: timedelta
+) -> UpstreamStats:
     """Return an upstream's statistics after a failed connection.
 
     Args:
@@ -130,8 +132,8 @@
 
 def choose_rank(
     upstreams: Collection[Upstream],
-    running: Mapping[Life, int],
-    slow: frozenset[Life],
+    running: Mapping[UpstreamIncarnation, int],
+    slow: frozenset[UpstreamIncarnation],
 ) -> Upstream | None:
     """Return a random rank, with more weight on ranks with more free slots.
 
@@ -163,15 +165,17 @@
     return min(ranks, key=lambda each: running.get(each.life, 0))
 
 
-def _weight(upstream: Upstream, running: Mapping[Life, int]) -> int:
+def _weight(
+    upstream: Upstream, running: Mapping[UpstreamIncarnation, int]
+) -> int:
     free = upstream.slots - running.get(upstream.life, 0)
     return max(0, free) ** FREE_SLOTS_EXPONENT
 
 
 def choose_plain(
     upstreams: Collection[Upstream],
-    running: Mapping[Life, int],
-    records: Mapping[Life, Record],
+    running: Mapping[UpstreamIncarnation, int],
+    records: Mapping[UpstreamIncarnation, UpstreamStats],
     now: timedelta,
 ) -> Upstream | None:
     """Return the plain upstream that should respond soonest.
@@ -206,7 +210,9 @@
 
 
 def _is_ejected(
-    upstream: Upstream, records: Mapping[Life, Record], now: timedelta
+    upstream: Upstream,
+    records: Mapping[UpstreamIncarnation, UpstreamStats],
+    now: timedelta,
 ) -> bool:
     record = records.get(upstream.life)
     return record is not None and now < record.ejected_until
@@ -214,8 +220,8 @@
 
 def _cost(
     upstream: Upstream,
-    running: Mapping[Life, int],
-    record: Record | None,
+    running: Mapping[UpstreamIncarnation, int],
+    record: UpstreamStats | None,
     median_latency: float,
     now: timedelta,
 ) -> float:
--- a/linnetwind/upstream_choice_test.py
+++ b/linnetwind/upstream_choice_test.py
@@ -7,11 +7,11 @@
 
 from linnetwind.upstream_choice import (
     MAX_EJECTION,
-    Record,
+    UpstreamStats,
     choose_plain,
     choose_rank,
-    note_answer,
-    note_miss,
+    record_answer,
+    record_connect_failure,
 )
 from standins.gateway_fixtures import MS, SECOND, make_upstream
 from standins.rank_load import Load, place_streams
@@ -77,10 +77,10 @@
     upstreams = _ranks(3, 6)
     records = {}
     for each in upstreams:
-        record = Record(SECOND)
+        record = UpstreamStats(SECOND)
         for _answer in range(20):
             failed = each.instance == 'r1'
-            record = note_answer(record, SECOND, 10 * MS, failed=failed)
+            record = record_answer(record, SECOND, 10 * MS, failed=failed)
         records[each.instance] = record
     chosen = choose_plain(upstreams, {'r0': 2, 'r2': 2}, records, SECOND)
     assert chosen.instance != 'r1'
@@ -91,7 +91,7 @@
     # to all of them, rather than to the remaining one alone.
     upstreams = _ranks(4, 6)
     records = {
-        each.instance: note_miss(Record(SECOND), SECOND)
+        each.instance: record_connect_failure(UpstreamStats(SECOND), SECOND)
         for each in upstreams[:3]
     }
     running = {'r3': 5}
@@ -105,7 +105,7 @@
     # request tries it. If the ejection doubles without a bound, it exceeds the
     # range of a timedelta after 48 failures in a row; the exception closed
     # callers' connections without a response.
-    record = Record(SECOND)
+    record = UpstreamStats(SECOND)
     for _failure in range(2000):
-        record = note_miss(record, SECOND)
+        record = record_connect_failure(record, SECOND)
     assert record.ejected_until == SECOND + MAX_EJECTION
--- a/linnetwind/upstream_http.py
+++ b/linnetwind/upstream_http.py
@@ -54,7 +54,7 @@
 CallFrame = Head | Chunk | End | Refused | Lost
 
 
-class UpstreamRun:
+class UpstreamHttpCall:
     """One call at one upstream."""
 
     def __init__(self, address: Address, call: Call) -> None:
@@ -212,7 +212,7 @@
             self._connection.close()
 
 
-def backoff_asked(head: Head) -> timedelta | None:
+def requested_backoff(head: Head) -> timedelta | None:
     """Return for how long an upstream asks to receive no calls.
 
     Args:
--- a/linnetwind/lives.py
+++ b/linnetwind/upstream_incarnation.py
@@ -5,12 +5,12 @@
 
 # Identifies one incarnation. State about a process is stored under this, so
 # that it is not applied to the next incarnation.
-Life = NewType('Life', str)
+UpstreamIncarnation = NewType('UpstreamIncarnation', str)
 # Stands for an incarnation in messages that have to be small.
-LifeTag = NewType('LifeTag', int)
+IncarnationTag = NewType('IncarnationTag', int)
 
 
-def name_life(instance: str, born_ms: int | None) -> Life:
+def name_incarnation(instance: str, born_ms: int | None) -> UpstreamIncarnation:
     """Return the identifier of an incarnation.
 
     Args:
@@ -20,10 +20,12 @@
     Returns:
       The identifier; just the instance's name if the start is unknown.
     """
-    return Life(instance if born_ms is None else f'{instance}#{born_ms}')
+    return UpstreamIncarnation(
+        instance if born_ms is None else f'{instance}#{born_ms}'
+    )
 
 
-def tag_life(life: Life) -> LifeTag:
+def tag_incarnation(life: UpstreamIncarnation) -> IncarnationTag:
     """Return the 32-bit number that stands for an incarnation in messages.
 
     Sender and receiver both compute it, so they need no agreement on it. Among
@@ -36,4 +38,4 @@
     Returns:
       The number.
     """
-    return LifeTag(zlib.crc32(life.encode()))
+    return IncarnationTag(zlib.crc32(life.encode()))
--- a/linnetwind/upstream_leaving_test.py
+++ b/linnetwind/upstream_leaving_test.py
@@ -2,14 +2,17 @@
 
 from datetime import timedelta
 
-from linnetwind.upstream_list import MAX_LEAVING, Registered, UpstreamList
+from linnetwind.upstream_list import MAX_LEAVING, UpstreamRecord, UpstreamList
 from standins.gateway_fixtures import make_upstream
 
 NOW = timedelta()
 LEAVES = make_upstream('leaves')
 STAYS = make_upstream('stays', 81)
-ENTRIES = [Registered('leaves', 0, LEAVES), Registered('stays', 1, STAYS)]
-KNOWN = UpstreamList().take(ENTRIES, 2).record_leaving(LEAVES)
+ENTRIES = [
+    UpstreamRecord('leaves', 0, LEAVES),
+    UpstreamRecord('stays', 1, STAYS),
+]
+KNOWN = UpstreamList().fold_records(ENTRIES, 2).record_leaving(LEAVES)
 
 
 def test_a_leaving_upstream_is_not_usable():
@@ -20,15 +23,15 @@
 
 def test_an_older_copy_of_the_store_does_not_restore_a_leaving_upstream():
     """Guards against requests due to an entry older than the announcement."""
-    older = KNOWN.take_whole(ENTRIES, 2, outage=True, now=NOW, era=1)
+    older = KNOWN.replace_all(ENTRIES, 2, outage=True, now=NOW, era=1)
     assert older.usable('plain', NOW) == [STAYS]
 
 
 def test_an_upstream_whose_entry_lapsed_is_still_leaving():
     """Guards against requests while its entry is missing from the store."""
-    lapsed = KNOWN.take_whole([], 3, outage=True, now=NOW)
+    lapsed = KNOWN.replace_all([], 3, outage=True, now=NOW)
     assert lapsed.usable('plain', NOW) == [STAYS]
-    back = lapsed.take([Registered('leaves', 4, LEAVES)], 5)
+    back = lapsed.fold_records([UpstreamRecord('leaves', 4, LEAVES)], 5)
     assert not back.is_usable(LEAVES, NOW)
 
 
--- a/linnetwind/upstream_limits.py
+++ b/linnetwind/upstream_limits.py
@@ -16,7 +16,11 @@
 from linnetwind.ages import AgeMs, age_of, moment_of
 from linnetwind.clock import Clock
 from linnetwind.limit_share import RateShare, SendSchedule, rate_share_of
-from linnetwind.lives import Life, LifeTag, tag_life
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    IncarnationTag,
+    tag_incarnation,
+)
 from linnetwind.upstream_list import Upstream
 
 _MAX_PER_S = 1_000_000_000
@@ -28,14 +32,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLimit:
+class AdvertisedLimit:
     """A limit that an upstream stated to the daemon that advertises it.
 
     `per_s` is None if the upstream does not state a limit any more; `age_ms` is
     the age of the statement when the message is sent.
     """
 
-    life: LifeTag
+    life: IncarnationTag
     per_s: PerSecond | None
     age_ms: AgeMs
 
@@ -49,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class Reservation:
     """A reserved request to an upstream; it may be sent after `wait`."""
 
     upstream: Upstream
@@ -87,9 +91,9 @@
         self._own = own
         self._demands = demands
         self._lock = threading.Lock()
-        self._stated: dict[LifeTag, _StatedLimit] = {}
-        self._advertised: dict[LifeTag, _StatedLimit] = {}
-        self._schedules: dict[LifeTag, SendSchedule] = {}
+        self._stated: dict[IncarnationTag, _StatedLimit] = {}
+        self._advertised: dict[IncarnationTag, _StatedLimit] = {}
+        self._schedules: dict[IncarnationTag, SendSchedule] = {}
 
     @property
     def any_known(self) -> bool:
@@ -112,12 +116,12 @@
             return False
         stated = _StatedLimit(per_s, self._clock.elapsed())
         with self._lock:
-            self._stated[tag_life(upstream.life)] = stated
+            self._stated[tag_incarnation(upstream.life)] = stated
         if before is None or per_s is None:
             return True
         return abs(per_s - before) > _MIN_CHANGE * before
 
-    def hear(self, limits: Iterable[ToldLimit]) -> None:
+    def merge_advertised(self, limits: Iterable[AdvertisedLimit]) -> None:
         """Merge the limits that a peer advertises.
 
         Args:
@@ -131,7 +135,7 @@
                 if before is None or before.at < stated.at:
                     self._advertised[each.life] = stated
 
-    def tell(self) -> tuple[ToldLimit, ...]:
+    def to_advertise(self) -> tuple[AdvertisedLimit, ...]:
         """Return the limits to advertise: those stated to this daemon itself.
 
         Limits that peers advertised are not passed on. Their age would be off
@@ -140,11 +144,11 @@
         """
         now = self._clock.elapsed()
         return tuple(
-            ToldLimit(life, stated.per_s, age_of(stated.at, now))
+            AdvertisedLimit(life, stated.per_s, age_of(stated.at, now))
             for life, stated in list(self._stated.items())
         )
 
-    def keep_only(self, lives: Collection[Life]) -> None:
+    def keep_only(self, lives: Collection[UpstreamIncarnation]) -> None:
         """Discard the state of upstreams that are not registered any more.
 
         Args:
@@ -152,13 +156,13 @@
         """
         if not self.any_known:
             return
-        tags = {tag_life(life) for life in lives}
+        tags = {tag_incarnation(life) for life in lives}
         with self._lock:
             for known in (self._stated, self._advertised, self._schedules):
                 for removed in known.keys() - tags:
                     known.pop(removed)
 
-    def per_s(self, life: Life) -> float | None:
+    def per_s(self, life: UpstreamIncarnation) -> float | None:
         """Return the limit that an upstream stated last, to any daemon.
 
         Args:
@@ -167,7 +171,7 @@
         Returns:
           The requests a second from all daemons, None if it has no limit.
         """
-        tag = tag_life(life)
+        tag = tag_incarnation(life)
         statements = [
             known[tag]
             for known in (self._stated, self._advertised)
@@ -177,7 +181,7 @@
             return None
         return max(statements, key=lambda stated: stated.at).per_s
 
-    def free(self, upstreams: list[Upstream]) -> list[Upstream]:
+    def within_limit(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Return the upstreams to which this daemon may send a request now.
 
         Args:
@@ -193,7 +197,7 @@
             each for each in upstreams if self._wait(each, now) == timedelta()
         ]
 
-    def take(self, upstream: Upstream) -> None:
+    def count_sent(self, upstream: Upstream) -> None:
         """Count a request that is sent to an upstream against its limit.
 
         Args:
@@ -204,7 +208,7 @@
 
     def reserve(
         self, upstreams: list[Upstream], longest: timedelta
-    ) -> Turn | None:
+    ) -> Reservation | None:
         """Reserve the earliest request that the upstreams' limits allow.
 
         Args:
@@ -217,7 +221,7 @@
         now = self._clock.elapsed()
         waits = [(self._wait(each, now), each) for each in upstreams]
         reservations = [
-            Turn(each, wait)
+            Reservation(each, wait)
             for wait, each in waits
             if wait is not None and wait <= longest
         ]
@@ -227,7 +231,9 @@
         self._send(earliest.upstream, now)
         return earliest
 
-    def next_turn(self, upstreams: list[Upstream]) -> timedelta | None:
+    def time_until_accepted(
+        self, upstreams: list[Upstream]
+    ) -> timedelta | None:
         """Return how soon this daemon may send the next request.
 
         Args:
@@ -244,14 +250,16 @@
         share = self._share(upstream)
         if share is None:
             return timedelta()
-        schedule = self._schedules.get(tag_life(upstream.life), SendSchedule())
+        schedule = self._schedules.get(
+            tag_incarnation(upstream.life), SendSchedule()
+        )
         return schedule.wait(share, now)
 
     def _send(self, upstream: Upstream, now: timedelta) -> None:
         share = self._share(upstream)
         if share is None or not share.burst:
             return
-        tag = tag_life(upstream.life)
+        tag = tag_incarnation(upstream.life)
         with self._lock:
             schedule = self._schedules.get(tag, SendSchedule())
             self._schedules[tag] = schedule.send(share, now)
--- a/linnetwind/upstream_limits_test.py
+++ b/linnetwind/upstream_limits_test.py
@@ -5,14 +5,14 @@
 import pytest
 
 from linnetwind.clock import ManualClock
-from linnetwind.lives import tag_life
-from linnetwind.upstream_limits import ToldLimit, UpstreamLimits
+from linnetwind.upstream_incarnation import tag_incarnation
+from linnetwind.upstream_limits import AdvertisedLimit, UpstreamLimits
 from standins.gateway_fixtures import make_upstream
 
 SECOND = timedelta(seconds=1)
 LIMITED = make_upstream('limited')
 OTHER = make_upstream('other', 81)
-TAG = tag_life(LIMITED.life)
+TAG = tag_incarnation(LIMITED.life)
 OWN = 'a'
 
 
@@ -29,22 +29,22 @@
 
 
 def _advertised(per_s, age_ms=0):
-    return (ToldLimit(TAG, per_s, age_ms),)
+    return (AdvertisedLimit(TAG, per_s, age_ms),)
 
 
 def test_without_a_limit_nothing_is_recorded(limits):
     assert not limits.record_limit(LIMITED, None)
     assert not limits.any_known
-    assert limits.free([LIMITED, OTHER]) == [LIMITED, OTHER]
-    assert limits.tell() == ()
+    assert limits.within_limit([LIMITED, OTHER]) == [LIMITED, OTHER]
+    assert limits.to_advertise() == ()
 
 
 def test_a_daemon_keeps_to_a_limit_that_a_peer_advertised(limits):
     # This daemon has sent nothing to the upstream since it states a limit.
-    limits.hear(_advertised(0.0))
+    limits.merge_advertised(_advertised(0.0))
     for _request in range(10):
-        limits.take(LIMITED)
-    assert limits.free([LIMITED, OTHER]) == [OTHER]
+        limits.count_sent(LIMITED)
+    assert limits.within_limit([LIMITED, OTHER]) == [OTHER]
 
 
 def test_a_response_without_a_limit_ends_the_limit(limits, clock):
@@ -53,7 +53,7 @@
     assert limits.record_limit(LIMITED, None)
     assert limits.per_s(LIMITED.life) is None
     # Peers have to learn that the limit has ended.
-    assert limits.tell() == (ToldLimit(TAG, None, 0),)
+    assert limits.to_advertise() == (AdvertisedLimit(TAG, None, 0),)
 
 
 @pytest.mark.parametrize(('age_ms', 'expected'), [(1500, 2.0), (500, 7.0)])
@@ -63,14 +63,14 @@
     # The states of peers arrive late and in any order.
     limits.record_limit(LIMITED, 2.0)
     clock.advance(SECOND)
-    limits.hear(_advertised(7.0, age_ms))
+    limits.merge_advertised(_advertised(7.0, age_ms))
     assert limits.per_s(LIMITED.life) == expected
 
 
 def test_limits_from_peers_are_not_passed_on(limits):
     # Two daemons would keep an outdated limit alive between them.
-    limits.hear(_advertised(2.0))
-    assert limits.tell() == ()
+    limits.merge_advertised(_advertised(2.0))
+    assert limits.to_advertise() == ()
 
 
 @pytest.mark.parametrize(
@@ -92,10 +92,10 @@
 
 def test_a_request_is_reserved_only_within_the_longest_wait(limits):
     limits.record_limit(LIMITED, 2.0)
-    while limits.free([LIMITED]):
-        limits.take(LIMITED)
+    while limits.within_limit([LIMITED]):
+        limits.count_sent(LIMITED)
     assert limits.reserve([LIMITED], SECOND / 10) is None
     reservation = limits.reserve([LIMITED], 2 * SECOND)
     assert timedelta() < reservation.wait <= SECOND
     # The reservation counts: the next request has to wait longer.
-    assert limits.next_turn([LIMITED]) > reservation.wait
+    assert limits.time_until_accepted([LIMITED]) > reservation.wait
