--- a/linnetwind/upstream_list.py
+++ b/linnetwind/upstream_list.py
@@ -13,7 +13,12 @@
 from typing import Self, TypeVar
 
 from linnetwind.address import Address
-from linnetwind.lives import Life, LifeTag, name_life, tag_life
+from linnetwind.upstream_incarnation import (
+    UpstreamIncarnation,
+    IncarnationTag,
+    name_incarnation,
+    tag_incarnation,
+)
 from linnetwind.record_store import Position
 
 # An upstream that is alive registers again within about two seconds after the
@@ -49,16 +54,16 @@
     draining: bool
     cold: timedelta
     born_ms: int | None = None
-    life: Life = field(init=False, compare=False, repr=False)
+    life: UpstreamIncarnation = field(init=False, compare=False, repr=False)
 
     def __post_init__(self) -> None:
         """Compute the identifier of the incarnation."""
-        life = name_life(self.instance, self.born_ms)
+        life = name_incarnation(self.instance, self.born_ms)
         object.__setattr__(self, 'life', life)
 
 
 @dataclass(frozen=True, slots=True)
-class Registered:
+class UpstreamRecord:
     """The newest record of a key; `upstream` is None if the key was deleted."""
 
     instance: str
@@ -74,7 +79,7 @@
     first record of its successor; None if there is no such record.
     """
 
-    life: Life
+    life: UpstreamIncarnation
     late_offset: int | None = None
 
 
@@ -99,7 +104,7 @@
     """
 
     end: int = 0
-    records: Mapping[str, Registered] = field(default_factory=dict)
+    records: Mapping[str, UpstreamRecord] = field(default_factory=dict)
     lapsed: Mapping[str, tuple[timedelta, Upstream]] = field(
         default_factory=dict
     )
@@ -107,7 +112,7 @@
     previous: Mapping[str, _PreviousIncarnation] = field(default_factory=dict)
     configured_services: frozenset[str] | None = None
     era: int = 0
-    leaving: tuple[Life, ...] = ()
+    leaving: tuple[UpstreamIncarnation, ...] = ()
 
     def usable(self, service: str, now: timedelta) -> list[Upstream]:
         """Return the upstreams of a service that may be sent requests.
@@ -136,7 +141,7 @@
             return self._usable_with(lapsed).get(service, [])
         return self._usable.get(service, [])
 
-    def replace_instance(self, expected: Upstream) -> Self:
+    def bar_replaced_instance(self, expected: Upstream) -> Self:
         """Return the list after another instance responded at an address.
 
         An upstream that is alive writes a record with each heartbeat. Any
@@ -184,7 +189,7 @@
         usable = self.usable(upstream.service, now)
         return any(each.life == upstream.life for each in usable)
 
-    def name_services(self, services: Iterable[str]) -> Self:
+    def restrict_to_services(self, services: Iterable[str]) -> Self:
         """Return the list after a configuration came into force.
 
         Args:
@@ -210,18 +215,20 @@
         entries = self._by_offset(lapsed)
         return [each for _at, each in entries if each.service == service]
 
-    def lives(self) -> set[Life]:
+    def incarnations(self) -> set[UpstreamIncarnation]:
         """Return the incarnations of all registered or lapsed upstreams."""
         registered = [each.upstream for each in self.records.values()]
         lapsed = [upstream for _until, upstream in self.lapsed.values()]
         return {each.life for each in (*registered, *lapsed) if each}
 
     @cached_property
-    def lives_by_tag(self) -> Mapping[LifeTag, Life]:
+    def incarnations_by_tag(
+        self,
+    ) -> Mapping[IncarnationTag, UpstreamIncarnation]:
         """Return the incarnations by their tags."""
-        return {tag_life(life): life for life in self.lives()}
+        return {tag_incarnation(life): life for life in self.incarnations()}
 
-    def take(self, records: Iterable[Registered], end: int) -> Self:
+    def fold_records(self, records: Iterable[UpstreamRecord], end: int) -> Self:
         """Return the list with newer records folded in.
 
         Args:
@@ -256,9 +263,9 @@
             previous=previous,
         )
 
-    def take_whole(
+    def replace_all(
         self,
-        records: Iterable[Registered],
+        records: Iterable[UpstreamRecord],
         end: int,
         *,
         outage: bool,
@@ -282,7 +289,7 @@
           The list; unchanged if the store served an older copy.
         """
         if era > self.era:
-            return self._enter_era(era, end).take_whole(
+            return self._enter_era(era, end).replace_all(
                 records, end, outage=True, now=now, era=era
             )
         if Position(era, end) < Position(self.era, self.end):
@@ -302,7 +309,7 @@
             min_offsets=_only(self.min_offsets, names | set(lapsed)),
             previous=_only(self.previous, names),
         )
-        return known.take(listed, end)
+        return known.fold_records(listed, end)
 
     def _enter_era(self, era: int, end: int) -> Self:
         """Return the list for a store that was restored from an older copy.
@@ -379,15 +386,17 @@
     return {name: each for name, each in known.items() if name in names}
 
 
-def _starts_incarnation(record: Registered, before: Registered | None) -> bool:
+def _starts_incarnation(
+    record: UpstreamRecord, before: UpstreamRecord | None
+) -> bool:
     if record.upstream is None or before is None or before.upstream is None:
         return False
     return record.upstream.life != before.upstream.life
 
 
 def _is_late(
-    record: Registered,
-    before: Registered | None,
+    record: UpstreamRecord,
+    before: UpstreamRecord | None,
     previous: _PreviousIncarnation | None,
 ) -> bool:
     """Return whether a record is a late write of the previous incarnation.
--- a/linnetwind/upstream_list_test.py
+++ b/linnetwind/upstream_list_test.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from linnetwind.upstream_list import RETURN_GRACE, Registered, UpstreamList
+from linnetwind.upstream_list import RETURN_GRACE, UpstreamRecord, UpstreamList
 from standins.gateway_fixtures import make_upstream
 
 NOW = timedelta(seconds=100)
 
 
 def _known(*records):
-    return UpstreamList().take(records, len(records))
+    return UpstreamList().fold_records(records, len(records))
 
 
 def _names(known, now=NOW):
@@ -21,7 +21,8 @@
 def test_a_draining_upstream_is_not_usable():
     drained = make_upstream('a', draining=True)
     known = _known(
-        Registered('a', 0, make_upstream('a')), Registered('a', 1, drained)
+        UpstreamRecord('a', 0, make_upstream('a')),
+        UpstreamRecord('a', 1, drained),
     )
     assert _names(known) == []
     assert [each.instance for each in known.registered('plain')] == ['a']
@@ -29,9 +30,9 @@
 
 def test_registered_upstreams_are_ordered_by_offset():
     known = _known(
-        Registered('a', 3, make_upstream('a')),
-        Registered('old-b', 1, make_upstream('old-b', 81)),
-        Registered('b', 2, make_upstream('b', 81)),
+        UpstreamRecord('a', 3, make_upstream('a')),
+        UpstreamRecord('old-b', 1, make_upstream('old-b', 81)),
+        UpstreamRecord('b', 2, make_upstream('b', 81)),
     )
     registered = known.registered('plain')
     assert [each.instance for each in registered] == ['old-b', 'b', 'a']
@@ -43,25 +44,26 @@
     # Requests sent there would arrive later than its drain allows.
     drained = make_upstream('a', draining=True)
     known = _known(
-        Registered('a', 0, make_upstream('a')), Registered('a', 1, drained)
+        UpstreamRecord('a', 0, make_upstream('a')),
+        UpstreamRecord('a', 1, drained),
     )
-    again = known.take([Registered('a', 0, make_upstream('a'))], 1)
+    again = known.fold_records([UpstreamRecord('a', 0, make_upstream('a'))], 1)
     assert _names(again) == []
 
 
 def test_a_stale_complete_list_changes_nothing():
     known = _known(
-        Registered('a', 0, make_upstream('a')),
-        Registered('b', 1, make_upstream('b', 81)),
+        UpstreamRecord('a', 0, make_upstream('a')),
+        UpstreamRecord('b', 1, make_upstream('b', 81)),
     )
-    old = [Registered('a', 0, make_upstream('a'))]
-    again = known.take_whole(old, 1, outage=False, now=NOW)
+    old = [UpstreamRecord('a', 0, make_upstream('a'))]
+    again = known.replace_all(old, 1, outage=False, now=NOW)
     assert _names(again) == ['a', 'b']
 
 
 def test_a_deleted_key_is_removed_at_once():
     known = _known(
-        Registered('a', 0, make_upstream('a')), Registered('a', 1, None)
+        UpstreamRecord('a', 0, make_upstream('a')), UpstreamRecord('a', 1, None)
     )
     assert _names(known) == []
 
@@ -71,19 +73,21 @@
     # that are alive register again within about two seconds of its return;
     # until then the gateway must not be left without upstreams.
     known = _known(
-        Registered('a', 0, make_upstream('a')),
-        Registered('b', 1, make_upstream('b', 81)),
+        UpstreamRecord('a', 0, make_upstream('a')),
+        UpstreamRecord('b', 1, make_upstream('b', 81)),
     )
-    back = known.take_whole([], 9, outage=True, now=NOW)
+    back = known.replace_all([], 9, outage=True, now=NOW)
     assert _names(back, NOW + RETURN_GRACE / 2) == ['a', 'b']
     assert _names(back, NOW + RETURN_GRACE) == []
-    returned = back.take([Registered('a', 9, make_upstream('a'))], 10)
+    returned = back.fold_records(
+        [UpstreamRecord('a', 9, make_upstream('a'))], 10
+    )
     assert _names(returned, NOW + RETURN_GRACE) == ['a']
 
 
 def test_a_draining_upstream_has_no_grace_period_after_an_outage():
-    known = _known(Registered('a', 0, make_upstream('a', draining=True)))
-    back = known.take_whole([], 9, outage=True, now=NOW)
+    known = _known(UpstreamRecord('a', 0, make_upstream('a', draining=True)))
+    back = known.replace_all([], 9, outage=True, now=NOW)
     assert _names(back, NOW) == []
 
 
@@ -92,23 +96,25 @@
     # stay for three heartbeats beside those of their successors; requests
     # for the dead ones would all be refused with 421.
     known = _known(
-        Registered('dead', 0, make_upstream('dead')),
-        Registered('alive', 1, make_upstream('alive')),
+        UpstreamRecord('dead', 0, make_upstream('dead')),
+        UpstreamRecord('alive', 1, make_upstream('alive')),
     )
     assert _names(known) == ['alive']
 
 
 def test_an_instance_is_not_usable_after_another_responds_at_its_address():
-    known = _known(Registered('dead', 0, make_upstream('dead')))
-    known = known.replace_instance(make_upstream('dead'))
+    known = _known(UpstreamRecord('dead', 0, make_upstream('dead')))
+    known = known.bar_replaced_instance(make_upstream('dead'))
     assert _names(known) == []
-    known = known.take([Registered('alive', 5, make_upstream('alive'))], 6)
+    known = known.fold_records(
+        [UpstreamRecord('alive', 5, make_upstream('alive'))], 6
+    )
     assert _names(known) == ['alive']
 
 
 def _entry(born_ms, offset, **changes):
     entry = make_upstream('a', born_ms=born_ms, **changes)
-    return Registered('a', offset, entry)
+    return UpstreamRecord('a', offset, entry)
 
 
 def _usable_starts(known):
@@ -122,9 +128,11 @@
     # millisecond. If it stayed barred, a service with one upstream would
     # refuse every call for ever.
     before = make_upstream('a', born_ms=born_ms)
-    known = _known(Registered('a', 0, before)).replace_instance(before)
+    known = _known(UpstreamRecord('a', 0, before)).bar_replaced_instance(before)
     assert _usable_starts(known) == []
-    assert _usable_starts(known.take([_entry(born_ms, 1)], 2)) == [born_ms]
+    assert _usable_starts(known.fold_records([_entry(born_ms, 1)], 2)) == [
+        born_ms
+    ]
 
 
 def test_a_late_misdirected_call_does_not_bar_the_next_incarnation():
@@ -132,13 +140,13 @@
     # instance at the old address says nothing about the new incarnation.
     before = make_upstream('a', born_ms=5)
     known = _known(_entry(5, 0), _entry(9, 1))
-    assert _usable_starts(known.replace_instance(before)) == [9]
+    assert _usable_starts(known.bar_replaced_instance(before)) == [9]
 
 
 def test_a_stale_copy_of_the_previous_incarnation_changes_nothing():
     known = _known(_entry(5, 0), _entry(9, 1))
-    assert _usable_starts(known.take([_entry(5, 0)], 2)) == [9]
-    stale = known.take_whole([_entry(5, 0)], 1, outage=True, now=NOW)
+    assert _usable_starts(known.fold_records([_entry(5, 0)], 2)) == [9]
+    stale = known.replace_all([_entry(5, 0)], 1, outage=True, now=NOW)
     assert _usable_starts(stale) == [9]
 
 
@@ -147,11 +155,11 @@
     # store applies that write after the first one of the new incarnation, so
     # it has the higher offset, also in a complete read of the list.
     known = _known(_entry(5, 0), _entry(9, 1))
-    late = known.take([_entry(5, 2)], 3)
+    late = known.fold_records([_entry(5, 2)], 3)
     assert _usable_starts(late) == [9]
-    again = late.take_whole([_entry(5, 2)], 3, outage=False, now=NOW)
+    again = late.replace_all([_entry(5, 2)], 3, outage=False, now=NOW)
     assert _usable_starts(again) == [9]
-    assert _usable_starts(again.take([_entry(9, 3)], 4)) == [9]
+    assert _usable_starts(again.fold_records([_entry(9, 3)], 4)) == [9]
 
 
 def test_an_earlier_start_time_with_a_higher_offset_counts():
@@ -166,8 +174,10 @@
     # not be ignored for ever.
     known = _known(_entry(5, 0), _entry(9, 1), _entry(5, 2))
     assert _usable_starts(known) == [9]
-    assert _usable_starts(known.take([_entry(5, 3)], 4)) == [5]
-    assert _usable_starts(known.take([_entry(5, 3), _entry(9, 4)], 5)) == [9]
+    assert _usable_starts(known.fold_records([_entry(5, 3)], 4)) == [5]
+    assert _usable_starts(
+        known.fold_records([_entry(5, 3), _entry(9, 4)], 5)
+    ) == [9]
 
 
 def test_a_draining_record_is_never_ignored():
--- a/linnetwind/upstream_refusals_test.py
+++ b/linnetwind/upstream_refusals_test.py
@@ -6,10 +6,10 @@
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.peer_book import GroupBrief
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.peer_table import GroupSummary
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
-from linnetwind.upstream_list import Registered
+from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import MS, SECOND, make_engine, make_upstream
 
 MODEL = RoutedService('model', '/health', 248, make_engine())
@@ -49,7 +49,9 @@
         self.refused += 1
         self._refused_at[upstream.instance] = now
         if self._states_backoffs:
-            self._state.books.backoffs.record_backoff(upstream.life, BACKOFF)
+            self._state.request_history.backoffs.record_backoff(
+                upstream.life, BACKOFF
+            )
         return False
 
 
@@ -57,9 +59,9 @@
     """Return whether a stream runs within its attempts."""
     tried = set()
     for _attempt in range(MAX_ATTEMPTS):
-        upstream = state.take_upstream(MODEL, frozenset(tried))
+        upstream = state.acquire_upstream(MODEL, frozenset(tried))
         runs = ranks.send(upstream)
-        state.give_back(upstream)
+        state.release_upstream(upstream)
         if runs:
             return True
         tried.add(upstream.instance)
@@ -69,20 +71,20 @@
 def _simulate(*, states_backoffs):
     random.seed(7)
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    terms = BudgetTerms(10 * SECOND, 0.2, 88)
+    terms = RetryBudgetTerms(10 * SECOND, 0.2, 88)
     state = GatewayState(clock, Address('127.0.0.1', 1), terms)
     entries = [
         make_upstream(str(rank), rank + 1, 'model') for rank in range(RANKS)
     ]
-    records = [Registered(each.instance, 0, each) for each in entries]
-    state.change_upstreams(lambda known: known.take(records, 1))
+    records = [UpstreamRecord(each.instance, 0, each) for each in entries]
+    state.change_upstreams(lambda known: known.fold_records(records, 1))
     lives = tuple(each.life for each in entries)
     ranks = RefusingRanks(clock, state, states_backoffs=states_backoffs)
     failed = 0
     for _stream in range(STREAMS):
         clock.advance(SPACING)
-        summary = GroupBrief('model', 'group', 1, True, 1.5, 0, lives)
-        state.room.take_brief(summary)
+        summary = GroupSummary('model', 'group', 1, True, 1.5, 0, lives)
+        state.stream_admission.apply_summary(summary)
         failed += not _run_stream(state, ranks)
     return ranks, failed
 
--- a/linnetwind/waiting_line.py
+++ b/linnetwind/wait_queue.py
@@ -14,14 +14,14 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.stream_gate import (
+from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     STOPPING,
     AdmissionDecision,
-    GroupView,
+    CapacityView,
     QueueStream,
-    TurnAway,
-    Waiter,
+    RejectStream,
+    PendingStream,
     decide_admission,
 )
 from linnetwind.upstream_list import Upstream
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class PermitRequest:
     """A request of a stream for a permit.
 
     `arrived_at` is the monotonic time at which the stream's request arrived,
@@ -57,7 +57,7 @@
     returning: bool
 
 
-def queue_position_key(request: Claim) -> tuple[bool, timedelta]:
+def queue_position_key(request: PermitRequest) -> tuple[bool, timedelta]:
     """Return the key by which queued streams are sorted.
 
     Args:
@@ -80,7 +80,7 @@
     """
 
     number: int
-    request: Claim
+    request: PermitRequest
     wakeup: threading.Condition
 
     @property
@@ -105,7 +105,7 @@
         self._lock = threading.RLock()
         self._numbers = itertools.count()
         self._entries: list[_QueueEntry] = []
-        self._views: dict[timedelta, tuple[timedelta, GroupView]] = {}
+        self._views: dict[timedelta, tuple[timedelta, CapacityView]] = {}
 
     @property
     def length(self) -> int:
@@ -123,13 +123,13 @@
             self._views.clear()
             self._wake_first()
 
-    def enter(
+    def acquire_permit(
         self,
-        request: Claim,
-        read_view: Callable[[timedelta], GroupView],
+        request: PermitRequest,
+        read_view: Callable[[timedelta], CapacityView],
         acquire: Callable[[], Upstream | None],
         has_time: Callable[[], bool],
-    ) -> Upstream | TurnAway | None:
+    ) -> Upstream | RejectStream | None:
         """Queue a stream until it is admitted or rejected.
 
         The permit is acquired before the next stream checks the capacity.
@@ -154,7 +154,11 @@
             self._sort()
             try:
                 decision = self._wait(entry, read_view, has_time)
-                return decision if isinstance(decision, TurnAway) else acquire()
+                return (
+                    decision
+                    if isinstance(decision, RejectStream)
+                    else acquire()
+                )
             finally:
                 self._views.clear()
                 self._entries.remove(entry)
@@ -167,7 +171,7 @@
     def _wait(
         self,
         entry: _QueueEntry,
-        read_view: Callable[[timedelta], GroupView],
+        read_view: Callable[[timedelta], CapacityView],
         has_time: Callable[[], bool],
     ) -> AdmissionDecision:
         # The daemon may be told to stop while the stream is queued; if the
@@ -176,7 +180,7 @@
             request = entry.request
             view = self._shared_view(request.gap, read_view)
             ahead = self._entries.index(entry)
-            waiter = Waiter(
+            waiter = PendingStream(
                 ahead,
                 self._clock.elapsed() - request.arrived_at,
                 request.target,
@@ -205,8 +209,8 @@
     def _shared_view(
         self,
         gap: timedelta,
-        read_view: Callable[[timedelta], GroupView],
-    ) -> GroupView:
+        read_view: Callable[[timedelta], CapacityView],
+    ) -> CapacityView:
         """Return a recent view, which all queued streams share.
 
         Each state of a peer makes streams check the capacity. If each
--- a/linnetwind/waiting_line_test.py
+++ b/linnetwind/wait_queue_test.py
@@ -6,14 +6,14 @@
 from datetime import UTC, datetime, timedelta
 
 from linnetwind.clock import ManualClock, SystemClock
-from linnetwind.stream_gate import (
+from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     MIN_RETRY_AFTER,
     STOPPING,
-    GroupView,
-    TurnAway,
+    CapacityView,
+    RejectStream,
 )
-from linnetwind.waiting_line import Claim, WaitQueue, queue_position_key
+from linnetwind.wait_queue import PermitRequest, WaitQueue, queue_position_key
 from standins.gateway_fixtures import MS, SECOND, make_upstream
 from standins.stream_fixtures import TARGET, VIEW
 
@@ -46,10 +46,10 @@
     order = []
 
     def enqueue(name):
-        request = Claim(
+        request = PermitRequest(
             clock.elapsed(), 1.5 * SECOND, 120 * MS, returning=False
         )
-        queue.enter(
+        queue.acquire_permit(
             request, lambda _gap: views[0], lambda: acquire(name), _always
         )
 
@@ -88,7 +88,7 @@
     upstream = make_upstream('u', service='model')
 
     def read_view(_gap):
-        return GroupView(10 - running[0], 40, 200 * MS, None)
+        return CapacityView(10 - running[0], 40, 200 * MS, None)
 
     def acquire():
         running[0] += 1
@@ -99,8 +99,10 @@
     ended = []
 
     def enqueue():
-        request = Claim(clock.elapsed(), SECOND, 120 * MS, returning=True)
-        result = queue.enter(request, read_view, acquire, _always)
+        request = PermitRequest(
+            clock.elapsed(), SECOND, 120 * MS, returning=True
+        )
+        result = queue.acquire_permit(request, read_view, acquire, _always)
         ended.append(result)
 
     threads = _start(enqueue, 20)
@@ -115,7 +117,7 @@
     queue.wake()
     _join(threads)
     assert ended.count(upstream) == 1
-    assert sum(isinstance(each, TurnAway) for each in ended) == 19
+    assert sum(isinstance(each, RejectStream) for each in ended) == 19
 
 
 def test_newcomers_are_served_in_time_despite_queued_retries():
@@ -128,15 +130,17 @@
     order = []
 
     def read_view(_gap):
-        return GroupView(10 - running[0], 100, 200 * MS, None)
+        return CapacityView(10 - running[0], 100, 200 * MS, None)
 
     def enqueue(name, returning):
         def acquire():
             running[0] += 1
             order.append(name)
 
-        request = Claim(clock.elapsed(), 1.5 * SECOND, 120 * MS, returning)
-        queue.enter(request, read_view, acquire, _always)
+        request = PermitRequest(
+            clock.elapsed(), 1.5 * SECOND, 120 * MS, returning
+        )
+        queue.acquire_permit(request, read_view, acquire, _always)
 
     threads = [
         threading.Thread(target=enqueue, args=('returned', True))
@@ -166,11 +170,11 @@
 
     def read_view(gap):
         reads.append(gap)
-        return GroupView(0, 1, 200 * MS, None)
+        return CapacityView(0, 1, 200 * MS, None)
 
     def enqueue(gap):
-        request = Claim(clock.elapsed(), SECOND, gap, returning=True)
-        queue.enter(request, read_view, lambda: None, _always)
+        request = PermitRequest(clock.elapsed(), SECOND, gap, returning=True)
+        queue.acquire_permit(request, read_view, lambda: None, _always)
 
     gaps = [120 * MS] * 15 + [200 * MS] * 15
     threads = [threading.Thread(target=enqueue, args=(gap,)) for gap in gaps]
@@ -199,7 +203,7 @@
         rate = 1.3 if now < 4 * SECOND else 0.97
         arrivals = int((number + 1) * rate) - int(number * rate)
         arrived += arrivals * (now > 6 * SECOND)
-        waiting += [Claim(now, TARGET, 120 * MS, False)] * arrivals
+        waiting += [PermitRequest(now, TARGET, 120 * MS, False)] * arrivals
         waiting += [each for each in returns if each.arrived_at <= now]
         returns = [each for each in returns if each.arrived_at > now]
         for request in list(waiting):
@@ -234,12 +238,12 @@
     # or none at all, and its caller sees the connection close without a
     # response.
     queue = WaitQueue(SystemClock())
-    full = GroupView(0, 1, timedelta(), None)
-    request = Claim(
+    full = CapacityView(0, 1, timedelta(), None)
+    request = PermitRequest(
         SystemClock().elapsed(), timedelta(hours=1), timedelta(seconds=1), False
     )
     answers = iter([True, True, False])
-    decision = queue.enter(
+    decision = queue.acquire_permit(
         request, lambda _gap: full, lambda: None, lambda: next(answers)
     )
     assert decision == STOPPING
@@ -259,9 +263,11 @@
         return True
 
     def enqueue():
-        request = Claim(clock.elapsed(), SECOND, 120 * MS, returning=True)
-        full = GroupView(0, 1, 200 * MS, None)
-        queue.enter(request, lambda _gap: full, lambda: None, has_time)
+        request = PermitRequest(
+            clock.elapsed(), SECOND, 120 * MS, returning=True
+        )
+        full = CapacityView(0, 1, 200 * MS, None)
+        queue.acquire_permit(request, lambda _gap: full, lambda: None, has_time)
 
     threads = _start(enqueue, 200)
     for _change in range(100):
@@ -286,10 +292,12 @@
         ran.append(clock.elapsed())
 
     def enqueue():
-        request = Claim(clock.elapsed(), SECOND, 120 * MS, returning=True)
-        queue.enter(
+        request = PermitRequest(
+            clock.elapsed(), SECOND, 120 * MS, returning=True
+        )
+        queue.acquire_permit(
             request,
-            lambda _gap: GroupView(free[0], 1, 200 * MS, None),
+            lambda _gap: CapacityView(free[0], 1, 200 * MS, None),
             acquire,
             _always,
         )
--- a/standins/bench_limits.py
+++ b/standins/bench_limits.py
@@ -9,10 +9,10 @@
 
 from linnetwind.clock import ManualClock
 from linnetwind.config import Customer
-from linnetwind.gate import Gate, Start
-from linnetwind.limits import Admitted, Limiter
+from linnetwind.call_admission import CallAdmission, StartCall
+from linnetwind.customer_rate_limits import Admitted, CustomerRateLimiter
 from linnetwind.messages import CustomerDemand, Demand
-from linnetwind.shares import ShareHome
+from linnetwind.shares import ShareAllocator
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 ENTRIES = 4
@@ -45,9 +45,9 @@
     """Play one customer's requests over several entry daemons."""
     rng = random.Random(seed)
     clock = ManualClock(START)
-    home = ShareHome(clock)
+    home = ShareAllocator(clock)
     first = 1.0 if policy == 'no shares' else 1 / ENTRIES
-    limiters = [Limiter(clock, first) for _entry in range(ENTRIES)]
+    limiters = [CustomerRateLimiter(clock, first) for _entry in range(ENTRIES)]
     account = Account()
     running: list[tuple[timedelta, int, int, Admitted, int]] = []
     order = itertools.count()
@@ -87,15 +87,15 @@
     return account
 
 
-def exchange(limiters: list[Limiter], home: ShareHome) -> None:
+def exchange(limiters: list[CustomerRateLimiter], home: ShareAllocator) -> None:
     """Let every entry tell its demand and take its shares."""
     for number, limiter in enumerate(limiters):
         demands = tuple(
             CustomerDemand(name, requests, tokens)
-            for name, (requests, tokens) in limiter.take_demand().items()
+            for name, (requests, tokens) in limiter.collect_demand().items()
         )
-        shares = home.take(Demand(str(number), demands))
-        limiter.take_fractions(
+        shares = home.apply_demand(Demand(str(number), demands))
+        limiter.update_fractions(
             {each.customer: each.fraction for each in shares.shares}
         )
 
@@ -111,7 +111,7 @@
     rng = random.Random(seed)
     clock = ManualClock(START)
     slots, service = 8, timedelta(milliseconds=200)
-    gate = Gate(slots, clock)
+    gate = CallAdmission(slots, clock)
     deadline = timedelta(seconds=2)
     patience = deadline if bounded else timedelta(days=1)
     arrived: dict[str, timedelta] = {}
@@ -147,7 +147,7 @@
 
 def act(action, clock, rng, service, ends, arrived, refused, waits):
     """Start a call, or count its refusal."""
-    if isinstance(action, Start):
+    if isinstance(action, StartCall):
         took = service * rng.expovariate(1)
         heapq.heappush(ends, (clock.elapsed() + took, action.call_id, took))
         return refused, waits
--- a/standins/bench_placement.py
+++ b/standins/bench_placement.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from linnetwind.expert_load import LoadEstimate, take_counts
+from linnetwind.expert_load import LoadEstimate, update_load_estimate
 from linnetwind.placement import (
     even_map,
     moves_between,
     plan_moves,
     skew,
 )
-from linnetwind.placement_pack import full_map
+from linnetwind.placement_pack import greedy_map
 from linnetwind.placement_types import ExpertMap, GroupLoad, PlacementPrices
 
 RANKS, SLOTS, LAYERS, EXPERTS = 16, 6, 8, 64
@@ -145,7 +145,7 @@
         assert estimate.load is not None
         if skew(current, estimate.load) <= threshold:
             return current
-        return full_map(current, estimate.load)
+        return greedy_map(current, estimate.load)
 
     return decide
 
@@ -173,7 +173,7 @@
             [0.0] * EXPERTS if loss.random() < missing else layer
             for layer in tokens
         ]
-        estimate = take_counts(estimate, seen, slowness)
+        estimate = update_load_estimate(estimate, seen, slowness)
         before = time.process_time()
         target = policy(current, estimate)
         outcome.seconds += time.process_time() - before
@@ -197,7 +197,7 @@
         for layers in zip(*counts, strict=True)
     )
     current = even_map(RANKS, SLOTS, LAYERS, EXPERTS)
-    best = full_map(current, GroupLoad(mean, (1.0,) * RANKS))
+    best = greedy_map(current, GroupLoad(mean, (1.0,) * RANKS))
     return lambda _current, _estimate: best
 
 
--- a/standins/bench_plans.py
+++ b/standins/bench_plans.py
@@ -9,10 +9,10 @@
 import time
 from dataclasses import dataclass, replace
 
-from linnetwind.map_wish import plan_map
+from linnetwind.target_map import plan_map
 from linnetwind.placement import even_map
 from linnetwind.rank_types import RankMaps
-from linnetwind.routes import EngineFigures
+from linnetwind.routes import EngineProfile
 from standins.gateway_fixtures import make_engine
 from standins.rank_orders import GroupModel
 
@@ -77,7 +77,7 @@
 
 
 def _play(
-    size: Size, engine: EngineFigures, source: random.Random
+    size: Size, engine: EngineProfile, source: random.Random
 ) -> list[Planned]:
     reports = GroupModel(size.ranks).reports()
     maps = _first_maps(size)
@@ -89,10 +89,10 @@
         begun = time.thread_time()
         plan = plan_map(maps, demand, reports, engine, use=1, force=False)
         took = time.thread_time() - begun
-        if plan.wish is None:
+        if plan.target is None:
             planned.append(Planned(took, plan.skew_before, 0))
             continue
-        maps = plan.wish.maps
+        maps = plan.target.maps
         planned.append(Planned(took, plan.skew_after, plan.moves))
     return planned
 
--- a/standins/bench_state.py
+++ b/standins/bench_state.py
@@ -13,11 +13,11 @@
 from linnetwind.address import Address
 from linnetwind.clock import SystemClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.peer_book import GroupBrief, PeerState
+from linnetwind.peer_table import GroupSummary, PeerState
 from linnetwind.peer_wire import pack_state
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
-from linnetwind.upstream_list import Registered, Upstream
+from linnetwind.upstream_list import UpstreamRecord, Upstream
 from standins.gateway_fixtures import MS, SECOND, make_engine, make_upstream
 
 SIZES = ((8, 5), (16, 4), (72, 13), (192, 35), (600, 100))
@@ -43,13 +43,13 @@
             for number in range(1, gateways - 1)
         )
         figures = [
-            _ms_of(lambda s=state, u=upstreams: s.note_pause(u[0], 50 * MS)),
+            _ms_of(lambda s=state, u=upstreams: s.record_pause(u[0], 50 * MS)),
             _ms_of(lambda s=state: s.group_view(_SERVICE, 120 * MS)),
             _ms_of(lambda s=state: _start_and_end(s)),
-            _ms_of(lambda s=state, n=states: s.hear(next(n))),
+            _ms_of(lambda s=state, n=states: s.merge_advertised(next(n))),
         ]
         sent = [
-            len(pack_state(_peer(upstreams, each, gateways, 1), whole=False))
+            len(pack_state(_peer(upstreams, each, gateways, 1), full=False))
             for each in (1, 0)
         ]
         row = ' '.join(f'{each:8.3f}' for each in figures)
@@ -57,15 +57,17 @@
 
 
 def _state(upstreams: list[Upstream], gateways: int) -> GatewayState:
-    terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+    terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
     state = GatewayState(SystemClock(), _OWN, terms)
     records = [
-        Registered(each.instance, offset, each)
+        UpstreamRecord(each.instance, offset, each)
         for offset, each in enumerate(upstreams)
     ]
-    state.change_upstreams(lambda known: known.take(records, len(records)))
+    state.change_upstreams(
+        lambda known: known.fold_records(records, len(records))
+    )
     for number in range(gateways - 1):
-        state.hear(_peer(upstreams, number, gateways, 1))
+        state.merge_advertised(_peer(upstreams, number, gateways, 1))
     return state
 
 
@@ -73,7 +75,7 @@
     upstreams: list[Upstream], number: int, gateways: int, counter: int
 ) -> PeerState:
     lives = tuple(each.life for each in upstreams)
-    brief = GroupBrief('model', 'g', 1, True, 2.0, 0, lives)
+    brief = GroupSummary('model', 'g', 1, True, 2.0, 0, lives)
     return PeerState(
         name=f'edge-site-{number}',
         start_id='3f9a11c2',
@@ -89,7 +91,7 @@
 
 
 def _start_and_end(state: GatewayState) -> None:
-    state.give_back(state.take_upstream(_SERVICE, frozenset()))
+    state.release_upstream(state.acquire_upstream(_SERVICE, frozenset()))
 
 
 def _ms_of(call: Callable[[], None]) -> float:
--- a/standins/capacity_processes.py
+++ b/standins/capacity_processes.py
@@ -11,7 +11,7 @@
 
 from linnetwind.address import Address
 from linnetwind.log_http import make_log
-from linnetwind.publisher import prepare, publish_once, read_state
+from linnetwind.publisher import prepare_publish, publish_once, read_state
 from standins.capacity_slopes import Slope, fit
 from standins.cluster import (
     IP,
@@ -60,7 +60,9 @@
             state.deployment.base, drained=('codigos-01',) * (number % 2)
         )
         wanted = replace(state.deployment, base=base)
-        change = prepare(wanted, state, None, f'change-{number}', 'capacity')
+        change = prepare_publish(
+            wanted, state, None, f'change-{number}', 'capacity'
+        )
         started = datetime.now(UTC)
         verdict = publish_once(log, state, change, [0.1] * 50, time.sleep)
         for node in daemons:
--- a/standins/capacity_slopes.py
+++ b/standins/capacity_slopes.py
@@ -9,7 +9,7 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from linnetwind.claims import Claim, Done, SlotLedger, StoredAnswer
+from linnetwind.claims import Claim, RecordedOutcome, SlotLedger, StoredResponse
 from linnetwind.clock import ManualClock
 from linnetwind.config import (
     Base,
@@ -43,7 +43,7 @@
     CustomerShare,
     Demand,
     GroupNote,
-    Load,
+    LoadReport,
     Shares,
 )
 from linnetwind.placement import even_map, plan_moves
@@ -151,18 +151,18 @@
     for count in (1000, 2000, 4000):
         tracemalloc.start()
         ledger = SlotLedger()
-        answer = StoredAnswer(
+        answer = StoredResponse(
             200, (('content-type', 'application/json'),), b'x' * 200
         )
         for number in range(count):
             key = number.to_bytes(16, 'big')
             claim = Claim(f'{number:032x}', 0, key, key)
-            ledger.take_own(ledger.next_offset, [claim])
-            held = StoredAnswer(
+            ledger.fold_appended(ledger.next_offset, [claim])
+            held = StoredResponse(
                 answer.status, answer.headers, bytes(bytearray(answer.body))
             )
-            ledger.take_own(
-                ledger.next_offset, [Done(claim.claim_id, key, held)]
+            ledger.fold_appended(
+                ledger.next_offset, [RecordedOutcome(claim.claim_id, key, held)]
             )
         points.append((count, tracemalloc.get_traced_memory()[0] / 1e6))
         tracemalloc.stop()
@@ -178,19 +178,19 @@
     for upstreams in (110, 330, 660):
         tracemalloc.start()
         known = Fleet(ManualClock(datetime(2026, 1, 1, tzinfo=UTC)))
-        known.take_base(base_of(10, upstreams))
+        known.update_base(base_of(10, upstreams))
         frames = []
         for service in known.base.services:
             for upstream in service.upstreams:
-                load = Load(upstream.name, 5, 1, 8.5, 812.5, 0, 12345)
-                known.take_load(load)
+                load = LoadReport(upstream.name, 5, 1, 8.5, 812.5, 0, 12345)
+                known.apply_load(load)
                 frames.append(PEER_CODEC.encode(load))
         memory.append((upstreams, tracemalloc.get_traced_memory()[0] / 1e6))
         tracemalloc.stop()
 
         def take(frames=frames, known=known):
             for frame in frames:
-                known.take_load(PEER_CODEC.decode(frame).unwrap())
+                known.apply_load(PEER_CODEC.decode(frame).unwrap())
 
         reports.append((upstreams, timed(take, 5) * 1000))
         service = known.base.services[0]
@@ -268,7 +268,9 @@
         for name, note in notes.items()
     }
     sizes['load report'] = len(
-        PEER_CODEC.encode(Load('asistente-001', 5, 1, 8.5, 812.5, 0, 12345))
+        PEER_CODEC.encode(
+            LoadReport('asistente-001', 5, 1, 8.5, 812.5, 0, 12345)
+        )
     )
     sizes['demand, per customer'] = (
         len(
--- a/standins/cluster_configuration_test.py
+++ b/standins/cluster_configuration_test.py
@@ -64,7 +64,7 @@
     # Not all upstreams check who gives them an order, so the side must.
     from linnetwind.address import Address
     from linnetwind.link import open_link
-    from linnetwind.peer import Identity
+    from linnetwind.peer_connection import Identity
 
     side = cluster.nodes['side-codigos-01']
     stranger = Identity('entry', 'stranger', 'x')
--- a/standins/dispatch_crashes_test.py
+++ b/standins/dispatch_crashes_test.py
@@ -10,7 +10,7 @@
 from result import Ok
 
 from linnetwind.address import Address
-from linnetwind.call_run import BrokenAnswer, OpenAnswer
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.clock import SystemClock
 from linnetwind.config import (
     Base,
@@ -26,7 +26,7 @@
 from linnetwind.http_request import HttpRequest, check_request
 from linnetwind.link import CallStream
 from linnetwind.outcome import NotRun
-from linnetwind.upstream_http import UpstreamRun
+from linnetwind.upstream_http import UpstreamHttpCall
 from standins.scripted_upstream import ScriptedUpstream
 
 UPSTREAMS = 8
@@ -47,13 +47,13 @@
         stream = CallStream(call.call_id, queue.SimpleQueue())
 
         def run():
-            for frame in UpstreamRun(self._address, call).answers():
+            for frame in UpstreamHttpCall(self._address, call).answers():
                 stream.frames.put(frame)
 
         threading.Thread(target=run, daemon=True).start()
         return Ok(stream)
 
-    def forget(self, call_id):
+    def discard_call(self, call_id):
         """Nothing is kept."""
 
     def post(self, message):
@@ -74,14 +74,14 @@
         self.base = Base('demo', sites, (service,), (CUSTOMER,))
         clock = SystemClock()
         fleet = Fleet(clock)
-        fleet.take_base(self.base)
+        fleet.update_base(self.base)
         hosts = [
             Host(each.host, 'site', Address('127.0.0.1', 1), HostState.LIVE)
             for each in named
         ]
-        fleet.take_hosts(hosts)
+        fleet.update_hosts(hosts)
         for host in hosts:
-            fleet.connected(host.name)
+            fleet.record_connected(host.name)
         links = {
             each.name: _Link(Address('127.0.0.1', upstream.port))
             for each, upstream in zip(named, self.upstreams, strict=True)
@@ -98,7 +98,7 @@
         request = HttpRequest('GET', path, '', {'x-api-key': KEY}, b'')
         checked = check_request(request, self.base, 'id').unwrap()
         opened = self._dispatcher.open(checked)
-        if isinstance(opened, OpenAnswer):
+        if isinstance(opened, OpenResponse):
             return b''.join(opened.body)
         return opened
 
@@ -136,7 +136,7 @@
     entry = _Entry(script)
     outcomes = []
     for _try in range(UPSTREAMS):
-        with suppress(BrokenAnswer):
+        with suppress(InterruptedResponse):
             outcomes.append(entry.ask('/codes/bad'))
     assert entry.crashes <= MOST_CRASHES
     assert isinstance(outcomes[-1], NotRun)
--- a/standins/explorer.py
+++ b/standins/explorer.py
@@ -13,7 +13,11 @@
 from itertools import product
 from typing import Any
 
-from linnetwind.mapcoordinator import Coordination, begin, take_prepared
+from linnetwind.mapcoordinator import (
+    Coordination,
+    request_preparation,
+    apply_prepared,
+)
 from linnetwind.mapswitch import handle_note, handle_status
 from linnetwind.mapswitch_side import Participant, make_participant
 from linnetwind.mapswitch_types import (
@@ -310,7 +314,7 @@
         size = len(self.world.ranks)
         for number in range(rounds):
             if number > 5:
-                self.send(begin(self.coordination))
+                self.send(request_preparation(self.coordination))
             for rank in range(size):
                 self.handle(
                     rank,
@@ -341,7 +345,7 @@
     def take(self, target: int, note: Note) -> None:
         """Deliver one note."""
         if isinstance(note, Prepared):
-            self.coordination, notes = take_prepared(self.coordination, note)
+            self.coordination, notes = apply_prepared(self.coordination, note)
             self.send(notes)
             return
         if isinstance(note, JoinQuery):
--- a/standins/gateway_fixtures.py
+++ b/standins/gateway_fixtures.py
@@ -5,11 +5,11 @@
 from datetime import timedelta
 
 from linnetwind.address import Address
-from linnetwind.peer_book import PeerState
+from linnetwind.peer_table import PeerState
 from linnetwind.rank_types import RankReport
 from linnetwind.routes import (
     CallerLimits,
-    EngineFigures,
+    EngineProfile,
     Route,
     RoutedService,
     RouteKind,
@@ -43,7 +43,7 @@
         'copy_ms': 111.0,
         'form_ms': 600.0,
     }
-    return EngineFigures(**{**figures, **changes})
+    return EngineProfile(**{**figures, **changes})
 
 
 def make_route(name, kind=RouteKind.IDEMPOTENT, **changes):
--- a/standins/gateway_harness.py
+++ b/standins/gateway_harness.py
@@ -12,13 +12,13 @@
 from linnetwind.clock import SystemClock
 from linnetwind.gateway_state import GatewayState
 from linnetwind.gateway_stop import GatewayStop
-from linnetwind.journey import GatewayTools
-from linnetwind.peer_book import GroupBrief
-from linnetwind.repeat_budget import BudgetTerms
+from linnetwind.request_context import GatewayContext
+from linnetwind.peer_table import GroupSummary
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RouteTable
-from linnetwind.stop_turns import Fleet, Host
+from linnetwind.drain_order import Fleet, FleetDaemon
 from linnetwind.upstream_call import open_call
-from linnetwind.upstream_list import Registered
+from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import make_upstream
 from standins.scripted_upstream import ScriptedUpstream, serve_in_threads
 
@@ -63,17 +63,17 @@
         self.stop = GatewayStop(
             self.clock,
             _STOP_WITHIN,
-            Host('gateway', 'a', None),
+            FleetDaemon('gateway', 'a', None),
             lambda _now: Fleet((), 1),
         )
-        terms = BudgetTerms(timedelta(seconds=10), 0.2, 88)
+        terms = RetryBudgetTerms(timedelta(seconds=10), 0.2, 88)
         self.state = GatewayState(self.clock, Address('127.0.0.1', 1), terms)
         if table is not None:
             self.state.apply_table(table)
         # It has been up for long: a planner has told of a group.
-        told = GroupBrief('model', 'group', 1, True, 1.5, 0, ())
-        self.state.room.take_brief(told)
-        self._tools = GatewayTools(
+        told = GroupSummary('model', 'group', 1, True, 1.5, 0, ())
+        self.state.stream_admission.apply_summary(told)
+        self._tools = GatewayContext(
             self.state,
             dialect,
             self.clock,
@@ -94,8 +94,8 @@
             f'i-{offset}', port or upstream.port, service=service
         )
         self.state.change_upstreams(
-            lambda known: known.take(
-                [Registered(entry.instance, offset, entry)], offset + 1
+            lambda known: known.fold_records(
+                [UpstreamRecord(entry.instance, offset, entry)], offset + 1
             )
         )
         return upstream
--- a/standins/rank_orders.py
+++ b/standins/rank_orders.py
@@ -17,7 +17,7 @@
     RankReport,
     ReleasePass,
 )
-from linnetwind.rollout import MapWish, RankCommand, Round
+from linnetwind.rollout import TargetMap, RankCommand, Round
 
 # What may happen next in a walk, and how often; and what else where single
 # ranks start again.
@@ -27,7 +27,7 @@
 )
 _ALONE = (('restart one', 'form'), (1, 5))
 
-Decide = Callable[[dict[int, RankReport], MapWish | None], Round]
+Decide = Callable[[dict[int, RankReport], TargetMap | None], Round]
 
 
 @dataclass
@@ -207,7 +207,7 @@
         self.random = random.Random(seed)
         self.group = group or GroupModel(size)
         self.decide = decide
-        self.wishes: list[MapWish | None] = [None] * planners
+        self.wishes: list[TargetMap | None] = [None] * planners
         self.views: list[dict[int, RankReport]] = [{}] * planners
         self.late: list[RankCommand] = []
 
@@ -293,9 +293,9 @@
             if self.random.random() < loss / 3:
                 self.late.append(command)
 
-    def _wish(self, view: dict[int, RankReport]) -> MapWish:
+    def _wish(self, view: dict[int, RankReport]) -> TargetMap:
         seen = max(
             max(each.map_version, each.prepared or 0) for each in view.values()
         )
         version = (seen // 1000 + 1) * 1000 + self.random.randrange(1000)
-        return MapWish(version, (version,))
+        return TargetMap(version, (version,))
--- a/standins/rank_restarts.py
+++ b/standins/rank_restarts.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from linnetwind.rank_types import RankReport
-from linnetwind.rollout import MapWish, RankCommand, Round
+from linnetwind.rollout import TargetMap, RankCommand, Round
 from standins.rank_orders import GroupModel
 
-Decide = Callable[[dict[int, RankReport], MapWish | None], Round]
+Decide = Callable[[dict[int, RankReport], TargetMap | None], Round]
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
         self._given: list[RankCommand] = []
         self._started_again = False
 
-    def run(self, wishes: list[MapWish], rounds: int) -> None:
+    def run(self, wishes: list[TargetMap], rounds: int) -> None:
         """Have the group take up maps.
 
         Args:
--- a/standins/stream_fixtures.py
+++ b/standins/stream_fixtures.py
@@ -2,11 +2,13 @@
 
 from datetime import timedelta
 
-from linnetwind.stream_gate import GroupView, Waiter
+from linnetwind.admission_policy import CapacityView, PendingStream
 from standins.gateway_fixtures import MS
 
 # The latency of a first event that is on time.
 TARGET = 500 * MS
 # A group with free places, and a stream that has just come.
-VIEW = GroupView(free=8, ends_per_s=40, start_time=200 * MS, opens_in=None)
-FIRST = Waiter(ahead=0, waited=timedelta(), target=TARGET, returning=False)
+VIEW = CapacityView(free=8, ends_per_s=40, start_time=200 * MS, opens_in=None)
+FIRST = PendingStream(
+    ahead=0, waited=timedelta(), target=TARGET, returning=False
+)
