--- a/linnetwind/gateway_state.py
+++ b/linnetwind/gateway_state.py
@@ -315,7 +315,8 @@
         """Release an upstream: end the count of a request there.
 
         Args:
-          upstream: The upstream, from `acquire_upstream` or `acquire_reservation`.
+          upstream: The upstream, from `acquire_upstream` or
+            `acquire_reservation`.
         """
         with self._lock:
             self._streams.end(upstream.life)
--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -24,12 +24,7 @@
     newest_by_address,
     index_by_group,
 )
-from linnetwind.target_map import (
-    can_gain,
-    even_demand,
-    map_skew,
-    plan_map,
-)
+from linnetwind.target_map import can_gain, even_demand, map_skew, plan_map
 from linnetwind.peer_table import GroupSummary
 from linnetwind.peer_mesh import PeerMesh
 from linnetwind.planned_group import (
@@ -66,24 +61,23 @@
 _POLL_INTERVAL_PER_RANK_MS = 2
 # How often a group is polled while it copies experts. Copying takes hundreds of
 # milliseconds, every other stage one round trip.
-_COPY_POLL_INTERVAL_MS = 30
-_COPY_POLL_INTERVAL = timedelta(milliseconds=_COPY_POLL_INTERVAL_MS)
+_COPY_INTERVAL_MS = 30
+_COPY_INTERVAL = timedelta(milliseconds=_COPY_INTERVAL_MS)
 # The rounds of orders that one poll may run in a row; a rollout needs about
 # six. With too few the group waits at its held pass: with 8 rounds for 0.12 to
 # 0.15 s in a quarter of the rollouts.
 _MAX_ROUNDS = 40
-# While it computes a plan, the planner sleeps briefly after each stretch of
-# this length, so that the streams of its own host are relayed in between. With
-# plans computed in one go at each poll, 113 of 418 responses of the planner's
-# data centre were late on a calm day, against 1 of 762 in the others. A large
-# plan has 100 to 230 steps; a sleep after every step would delay its map by as
-# many milliseconds.
+# While it computes a plan, the planner sleeps briefly each time this long has
+# passed, so that its own host's streams are relayed in between. With plans
+# computed in one go at each poll, 113 of 418 responses of the planner's data
+# centre were late on a calm day, against 1 of 762 in the others. A sleep after
+# each of a large plan's 100 to 230 steps would delay its map by as many ms.
 _MAX_COMPUTE_MS = 3
 _MAX_COMPUTE_TIME = timedelta(milliseconds=_MAX_COMPUTE_MS)
 _YIELD_S = 0.001
 # For how long no new plan is made after one that gained too little, as long as
 # the skew stays. Without this limit ten such plans were made per second.
-_FUTILE_PLAN_BACKOFF = timedelta(seconds=1)
+_REPLAN_DELAY = timedelta(seconds=1)
 # A planner that has not received reports from the whole group for this long
 # lets another daemon lead.
 _MAX_TIME_WITHOUT_VIEW = timedelta(seconds=1)
@@ -112,10 +106,8 @@
         """Start without any groups.
 
         Args:
-          state: Provides services and upstreams, and receives the groups'
-            summaries.
-          mesh: Knows which daemon leads, and publishes the summaries to the
-            peers.
+          state: Provides services and upstreams; receives groups' summaries.
+          mesh: Knows which daemon leads; publishes the summaries to peers.
           open_link: Returns a link to an upstream.
           clock: The clock.
           log: The log.
@@ -162,7 +154,7 @@
         has_full_view = all(self._has_full_view(each) for each in groups)
         self._mesh.publish(tuple(summaries), can_plan=has_full_view)
         copying = any(_is_copying(each) for each in groups)
-        return _COPY_POLL_INTERVAL if copying else POLL_INTERVAL
+        return _COPY_INTERVAL if copying else POLL_INTERVAL
 
     def _has_full_view(self, group: PlannedGroup) -> bool:
         """Return whether this daemon sees as much of a group as any could."""
@@ -178,9 +170,9 @@
         if planned is None:
             planned = PlannedService(GroupLinks(self._open_link))
             self._services[service.name] = planned
-        self._poll_service(service, planned)
+        self._poll(service, planned)
         for group in planned.groups.values():
-            self._record_group_change(service, group)
+            self._track_group(service, group)
             reports = group.reports
             rounds = _MAX_ROUNDS
             while reports and rounds:
@@ -194,18 +186,13 @@
         """Return whether to read the counts now; if so, record the time."""
         now = self._clock.elapsed()
         ranks = sum(len(group.ranks) for group in planned.groups.values())
-        interval = timedelta(milliseconds=_POLL_INTERVAL_PER_RANK_MS * ranks)
-        if (
-            now - planned.counted_at
-            < max(interval, POLL_INTERVAL) - _COPY_POLL_INTERVAL
-        ):
+        wait = timedelta(milliseconds=_POLL_INTERVAL_PER_RANK_MS * ranks)
+        if now - planned.counted_at < max(wait, POLL_INTERVAL) - _COPY_INTERVAL:
             return False
         planned.counted_at = now
         return True
 
-    def _poll_service(
-        self, service: RoutedService, planned: PlannedService
-    ) -> None:
+    def _poll(self, service: RoutedService, planned: PlannedService) -> None:
         """Poll all ranks of a service and apply their replies."""
         registered = newest_by_address(
             self._state.upstreams.registered(service.name)
@@ -239,8 +226,7 @@
         """Decide and carry out one round.
 
         Returns:
-          The reports for a round that may follow immediately; empty if the
-          group needs time.
+          Reports for an immediate next round; empty if the group needs time.
         """
         decided = next_round(reports, group.target, self._lead_passes(group))
         self._record_stage(service, group, decided.stage, reports)
@@ -250,9 +236,7 @@
                 group.target = self._plan_if_allowed(service, group, reports)
                 return reports if group.target else {}
             case 'a new map is needed':
-                group.target = self._plan_target(
-                    service, group, reports, force=True
-                )
+                group.target = self._plan(service, group, reports, force=True)
                 return reports if group.target else {}
         if not decided.commands:
             return {}
@@ -268,8 +252,7 @@
         if stage == 'in use':
             group.backoff = PlannerBackoff()
         elif group.target is not None:
-            # Idle in spite of a target map: a rank has a newer version of
-            # another planner.
+            # Idle despite a target: a rank has another planner's newer version.
             group.backoff = back_off_when_superseded(
                 group.backoff, self._clock.elapsed(), random.random()
             )
@@ -279,7 +262,7 @@
     ) -> TargetMap | None:
         if self._clock.elapsed() < group.backoff.until:
             return None
-        return self._plan_target(service, group, reports, force=False)
+        return self._plan(service, group, reports, force=False)
 
     def _lead_passes(self, group: PlannedGroup) -> int:
         since = group.unanswered_at
@@ -291,9 +274,8 @@
         """Send the orders and return the reports that came with the replies.
 
         Ranks without an order keep their last known report, so that a round
-        does not wait for calls to all ranks. This is safe: every fact that a
-        decision relies on stays true, and the orders are bound to the reported
-        epoch and sequence.
+        does not wait for calls to all ranks. This is safe: all facts behind a
+        decision stay true, and orders are bound to reported epoch and sequence.
         """
         orders = {
             group.ranks[each.rank].upstream: each.order
@@ -310,13 +292,11 @@
                 self._log.event(
                     OrderFailed(command.rank, name, reply.result.value)
                 )
-            elif _is_same_incarnation(
-                group.reports[command.rank], reply.report
-            ):
+            elif _is_same_start(group.reports[command.rank], reply.report):
                 newer[command.rank] = reply.report
         return newer
 
-    def _plan_target(
+    def _plan(
         self,
         service: RoutedService,
         group: PlannedGroup,
@@ -326,18 +306,13 @@
     ) -> TargetMap | None:
         tokens = group.demand.by_layer(service.engine.layers)
         if not sum(map(sum, tokens)):
-            # A held group runs no passes, so nothing is counted; it needs a new
-            # version all the same.
+            # A held group runs no passes to count, but needs a new version.
             tokens = even_demand(service.engine) if force else ()
         if group.maps is None or not tokens:
             return None
         group.skew = map_skew(group.maps, tokens, reports, service.engine)
         now = self._clock.elapsed()
-        settled = (
-            group.settled
-            if now - group.settled_at < _FUTILE_PLAN_BACKOFF
-            else 0
-        )
+        settled = group.settled if now - group.settled_at < _REPLAN_DELAY else 0
         use = self._state.stream_admission.utilization(service.name, group.name)
         if not force and not can_gain(group.skew, use, settled):
             return None
@@ -384,19 +359,15 @@
         now = self._clock.elapsed()
         version = group.target.version if group.target else 0
         step = max(each.step for each in reports.values())
-        before = group.stage
-        took = now - group.stage_since if before else timedelta()
+        old = group.stage
+        took = now - group.stage_since if old else timedelta()
         self._log.event(
-            MapStep(
-                _full_name(service, group), version, before, stage, step, took
-            )
+            MapStep(_full_name(service, group), version, old, stage, step, took)
         )
         group.stage = stage
         group.stage_since = now
 
-    def _record_group_change(
-        self, service: RoutedService, group: PlannedGroup
-    ) -> None:
+    def _track_group(self, service: RoutedService, group: PlannedGroup) -> None:
         reports = group.reports
         epoch = max((each.epoch for each in reports.values()), default=0)
         now = (epoch, is_whole(reports))
@@ -414,7 +385,7 @@
     return f'{service.name}/{group.name}'
 
 
-def _is_same_incarnation(before: RankReport, newer: RankReport | None) -> bool:
+def _is_same_start(before: RankReport, newer: RankReport | None) -> bool:
     """Return whether a reply's report is from the incarnation known before.
 
     If the rank has restarted meanwhile, all ranks are polled again, which
--- a/linnetwind/upstream_backoff_test.py
+++ b/linnetwind/upstream_backoff_test.py
@@ -9,8 +9,8 @@
 from standins.gateway_fixtures import make_upstream
 
 SECOND = timedelta(seconds=1)
-REFUSING = make_upstream('refusing')
-OTHER = make_upstream('other', 81)
+REFUSING = make_upstream('sick')
+OTHER = make_upstream('sister', 81)
 
 
 @pytest.fixture(name='clock')
@@ -65,8 +65,6 @@
 
 def test_the_next_incarnation_of_an_upstream_has_no_backoff(backoffs):
     """Guards against an upstream that restarts and gets no requests."""
-    backoffs.record_backoff(
-        make_upstream('refusing', born_ms=1).life, 3 * SECOND
-    )
-    restarted = make_upstream('refusing', born_ms=2)
+    backoffs.record_backoff(make_upstream('sick', born_ms=1).life, 3 * SECOND)
+    restarted = make_upstream('sick', born_ms=2)
     assert backoffs.without_backoff([restarted]) == [restarted]
--- a/linnetwind/upstream_limits_test.py
+++ b/linnetwind/upstream_limits_test.py
@@ -10,8 +10,8 @@
 from standins.gateway_fixtures import make_upstream
 
 SECOND = timedelta(seconds=1)
-LIMITED = make_upstream('limited')
-OTHER = make_upstream('other', 81)
+LIMITED = make_upstream('sick')
+OTHER = make_upstream('sister', 81)
 TAG = tag_incarnation(LIMITED.life)
 OWN = 'a'
 
--- a/linnetwind/upstream_list.py
+++ b/linnetwind/upstream_list.py
@@ -1,9 +1,9 @@
 """The registered upstreams, folded from the records of the store.
 
-Each record has an offset. A stale copy of the list would bring back an
-upstream that drains by now, so a record at or below the known offset of its
-key is ignored. Offsets also decide which of two incarnations of an upstream is
-the newer one: start times come from the host's clock, which may jump.
+Each record has an offset. A stale copy of the list would bring back an upstream
+that drains by now, so a record at or below its key's known offset is ignored.
+Offsets also decide which of two incarnations of an upstream is newer: start
+times come from the host's clock, which may jump.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,9 +21,8 @@
 )
 from linnetwind.record_store import Position
 
-# An upstream that is alive registers again within about two seconds after the
-# store returns from an outage in which its entry expired (the platform's
-# figure).
+# A live upstream registers again within about two seconds after the store is
+# back from an outage in which its entry expired (the platform's figure).
 RETURN_GRACE = timedelta(seconds=2)
 # Entries that lapsed in an outage count as older than any record.
 _LAPSED_OFFSET = -1
@@ -38,12 +37,11 @@
 class Upstream:
     """A registered upstream.
 
-    `instance` is the name under which the process registers; it keeps this
-    name when it restarts. `born_ms` is the Unix time in milliseconds of its
-    start, None if the entry does not state it. `slots` is the number of
-    requests that it runs concurrently, `cold` the time that it still needs to
-    warm up. `life` identifies the incarnation; it is computed once, because
-    each event of each stream reads it for all members of a group.
+    `instance` is the name under which the process registers, also after a
+    restart. `born_ms` is the Unix time in ms of its start, None if the entry
+    lacks it. `slots` is the number of requests that it runs at once, `cold` the
+    time that it still needs to warm up. `life` identifies the incarnation,
+    computed once: each event of each stream reads it for a group's members.
     """
 
     instance: str
@@ -72,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PreviousIncarnation:
+class _Predecessor:
     """The incarnation before the one that is registered now.
 
     `late_offset` is the offset of a record of it that was written after the
@@ -92,15 +90,13 @@
       records: The newest record of each instance.
       lapsed: The upstreams whose entries disappeared during an outage of the
         store, with the monotonic time until which they stay usable.
-      min_offsets: The instances at whose address another instance has
-        responded, or whose record from an older copy of the store is not
-        trusted. Only records from this offset on count for them.
+      min_offsets: For instances at whose address another one has responded, or
+        whose record from an older copy of the store is not trusted: the offset
+        from which on their records count.
       previous: The previous incarnation of each upstream that restarted.
-      configured_services: The services of the configuration in force; None
-        before the first configuration.
+      configured_services: Services in force; None before any configuration.
       era: The era of the store's offsets.
-      leaving: The incarnations that announced in a response that they leave,
-        in the order of their announcements.
+      leaving: Incarnations whose responses announced leaving, in that order.
     """
 
     end: int = 0
@@ -109,7 +105,7 @@
         default_factory=dict
     )
     min_offsets: Mapping[str, int] = field(default_factory=dict)
-    previous: Mapping[str, _PreviousIncarnation] = field(default_factory=dict)
+    previous: Mapping[str, _Predecessor] = field(default_factory=dict)
     configured_services: frozenset[str] | None = None
     era: int = 0
     leaving: tuple[UpstreamIncarnation, ...] = ()
@@ -120,33 +116,29 @@
         After a crash, an upstream's entry stays for some heartbeats while its
         successor registers at the same address. Requests for the crashed one
         would only be refused, so just the newest entry of an address counts.
-        Entries of services that are not configured do not count: an entry of
-        another writer could otherwise take over the address of a working
-        upstream, which would then get no requests.
+        Entries of services that are not configured do not count: one of another
+        writer could take over a working upstream's address and its requests.
 
         Args:
           service: The service's name.
           now: The monotonic time.
 
         Returns:
-          The registered upstreams that neither drain nor leave, and those
-          whose entries lapsed during an outage of the store and are within
-          their grace period. The same object on each call as long as the list
-          is unchanged and no entry has lapsed.
+          The registered upstreams that neither drain nor leave, and those whose
+          entries lapsed in a store outage, for their grace period. The same
+          object on each call while the list is unchanged and no entry lapsed.
         """
         if self.lapsed:
-            lapsed = [
-                each for until, each in self.lapsed.values() if now < until
-            ]
+            lapsed = [each for till, each in self.lapsed.values() if now < till]
             return self._usable_with(lapsed).get(service, [])
         return self._usable.get(service, [])
 
     def bar_replaced_instance(self, expected: Upstream) -> Self:
         """Return the list after another instance responded at an address.
 
-        An upstream that is alive writes a record with each heartbeat. Any
-        newer record therefore makes the instance usable again, even one of a
-        next incarnation without a start time or with the same start time.
+        A live upstream writes a record with each heartbeat, so any newer record
+        makes the instance usable again, even one of a next incarnation without
+        a start time or with the same start time.
 
         Args:
           expected: The upstream that was expected at the address.
@@ -169,8 +161,7 @@
           upstream: The upstream that leaves.
 
         Returns:
-          The list, in which this incarnation is not usable any more, whatever
-          its entry in the store says.
+          The list, with this incarnation unusable, whatever its entry says.
         """
         others = [each for each in self.leaving if each != upstream.life]
         leaving = (*others, upstream.life)[-MAX_LEAVING:]
@@ -208,11 +199,10 @@
           service: The service's name.
 
         Returns:
-          The upstreams with an entry, and those whose entries lapsed, ordered
-          by offset from the oldest to the newest.
+          Those with an entry or a lapsed one, by offset from oldest to newest.
         """
         lapsed = [each for _until, each in self.lapsed.values()]
-        entries = self._by_offset(lapsed)
+        entries = self._sorted(lapsed)
         return [each for _at, each in entries if each.service == service]
 
     def incarnations(self) -> set[UpstreamIncarnation]:
@@ -246,13 +236,11 @@
             if before is not None and record.offset <= before.offset:
                 continue
             if _is_late(record, before, previous.get(record.instance)):
-                late = _PreviousIncarnation(record.upstream.life, record.offset)
+                late = _Predecessor(record.upstream.life, record.offset)
                 previous[record.instance] = late
                 continue
-            if _starts_incarnation(record, before):
-                previous[record.instance] = _PreviousIncarnation(
-                    before.upstream.life
-                )
+            if _is_restart(record, before):
+                previous[record.instance] = _Predecessor(before.upstream.life)
             known[record.instance] = record
             lapsed.pop(record.instance, None)
         return replace(
@@ -274,9 +262,8 @@
     ) -> Self:
         """Return the list after a complete read of the store.
 
-        Keys that are missing from the complete list were deleted. After an
-        outage of the store their upstreams stay usable for the grace period,
-        in which those that are alive register again.
+        Unlisted keys were deleted. After a store outage their upstreams stay
+        usable for the grace period, in which those alive register again.
 
         Args:
           records: The newest record of each key.
@@ -314,11 +301,11 @@
     def _enter_era(self, era: int, end: int) -> Self:
         """Return the list for a store that was restored from an older copy.
 
-        Offsets of the new era cannot be compared with those of the old one.
-        The copy may list upstreams as ready that have since left or started
-        to drain, and they would be sent requests again. These instances count
-        only from their next heartbeat on, whose offset lies behind the copy's
-        end; those that have left never write one.
+        Offsets of the new era cannot be compared with those of the old one. The
+        copy may list upstreams as ready that have since left or begun to drain,
+        and they would get requests again. These instances count only from their
+        next heartbeat on, whose offset lies behind the copy's end; those that
+        have left never write one.
         """
         barred = [
             instance
@@ -333,7 +320,7 @@
         }
         # The copy may hold an entry of the incarnation before the known one.
         previous = {
-            instance: _PreviousIncarnation(each.life)
+            instance: _Predecessor(each.life)
             for instance, each in self.previous.items()
         }
         return replace(
@@ -350,9 +337,7 @@
         return self._usable_with([])
 
     def _usable_with(self, lapsed: list[Upstream]) -> dict[str, list[Upstream]]:
-        newest = {
-            each.address: (at, each) for at, each in self._by_offset(lapsed)
-        }
+        newest = {each.address: (at, each) for at, each in self._sorted(lapsed)}
         usable: dict[str, list[Upstream]] = {}
         for at, each in newest.values():
             is_trusted = at >= self.min_offsets.get(each.instance, at)
@@ -361,7 +346,7 @@
                 usable.setdefault(each.service, []).append(each)
         return usable
 
-    def _by_offset(self, lapsed: list[Upstream]) -> list[tuple[int, Upstream]]:
+    def _sorted(self, lapsed: list[Upstream]) -> list[tuple[int, Upstream]]:
         """Return upstreams with their offsets, from oldest to newest."""
         entries = [(_LAPSED_OFFSET, upstream) for upstream in lapsed]
         entries.extend(
@@ -386,9 +371,7 @@
     return {name: each for name, each in known.items() if name in names}
 
 
-def _starts_incarnation(
-    record: UpstreamRecord, before: UpstreamRecord | None
-) -> bool:
+def _is_restart(record: UpstreamRecord, before: UpstreamRecord | None) -> bool:
     if record.upstream is None or before is None or before.upstream is None:
         return False
     return record.upstream.life != before.upstream.life
@@ -397,25 +380,21 @@
 def _is_late(
     record: UpstreamRecord,
     before: UpstreamRecord | None,
-    previous: _PreviousIncarnation | None,
+    previous: _Predecessor | None,
 ) -> bool:
     """Return whether a record is a late write of the previous incarnation.
 
     A write in flight when the upstream crashed may be applied seconds later,
     after the first entry of the next incarnation. Without this check, calls
-    would be counted for the dead incarnation until the next heartbeat. Only
-    one such record is ignored: an incarnation that writes twice is alive, and
-    it was the host's clock that went back. A record that says "draining" is
-    never ignored, because requests must not be sent to a draining upstream.
+    would be counted for the dead incarnation until the next heartbeat. Only one
+    such record is ignored: an incarnation that writes twice is alive, and the
+    host's clock went back. A record that says "draining" is
+    never ignored: a draining upstream must not be sent requests.
     """
-    if previous is None or not _starts_incarnation(record, before):
+    if previous is None or not _is_restart(record, before):
         return False
-    started = (record.upstream.born_ms, before.upstream.born_ms)
-    if None in started or record.upstream.draining:
+    born = (record.upstream.born_ms, before.upstream.born_ms)
+    if None in born or record.upstream.draining:
         return False
-    is_first = previous.late_offset in {None, record.offset}
-    return (
-        is_first
-        and record.upstream.life == previous.life
-        and started[0] < started[1]
-    )
+    first = previous.late_offset in {None, record.offset}
+    return first and record.upstream.life == previous.life and born[0] < born[1]
