--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -313,15 +313,17 @@
         group.skew = map_skew(group.maps, tokens, reports, service.engine)
         now = self._clock.elapsed()
         settled = group.settled if now - group.settled_at < _REPLAN_DELAY else 0
-        use = self._state.stream_admission.utilization(service.name, group.name)
-        if not force and not can_gain(group.skew, use, settled):
+        utilization = self._state.stream_admission.utilization(
+            service.name, group.name
+        )
+        if not force and not can_gain(group.skew, utilization, settled):
             return None
         planned = plan_map(
             group.maps,
             tokens,
             reports,
             service.engine,
-            use=use,
+            utilization=utilization,
             force=force,
             pause=self._yield_to_streams,
         )
--- a/linnetwind/target_map.py
+++ b/linnetwind/target_map.py
@@ -84,7 +84,7 @@
     reports: Mapping[int, RankReport],
     engine: EngineProfile,
     *,
-    use: float,
+    utilization: float,
     force: bool,
     pause: Callable[[], None] = no_pause,
 ) -> PlannedMap:
@@ -96,7 +96,7 @@
       reports: The ranks' reports, for their relative slowness and their map
         versions.
       engine: The figures of the engines.
-      use: The group's utilization: running streams over its capacity, from 0 to
+      utilization: Running streams over the group's capacity, from 0 to
         1.
       force: Whether a new version is needed even without a gain.
       pause: Called repeatedly while the plan is made, so that other threads of
@@ -114,7 +114,7 @@
     gain = 1 - plan.skew_after / plan.skew_before
     reason = plan.reason
     next_target = None
-    if force or gain >= _min_gain(use):
+    if force or gain >= _min_gain(utilization):
         target = _rank_maps(plan.target, engine)
         next_target = TargetMap(_new_version(reports), target)
     else:
@@ -144,7 +144,9 @@
     return skew(_expert_map(maps, engine), _group_load(tokens, reports))
 
 
-def can_gain(current_skew: float, use: float, futile_skew: float) -> bool:
+def can_gain(
+    current_skew: float, utilization: float, futile_skew: float
+) -> bool:
     """Return whether a plan could gain enough to be worth a rollout.
 
     Most polls find a group near balance. When a plan was made at every poll all
@@ -153,7 +155,7 @@
 
     Args:
       current_skew: The skew of the map in use.
-      use: The group's utilization: running streams over its capacity, from 0 to
+      utilization: Running streams over the group's capacity, from 0 to
         1.
       futile_skew: The skew at which a recent plan gained too little; 0 if there
         is none.
@@ -163,7 +165,7 @@
       plan gained too little.
     """
     grown = current_skew >= futile_skew * _SKEW_GROWTH
-    return grown and 1 - 1 / current_skew >= _min_gain(use)
+    return grown and 1 - 1 / current_skew >= _min_gain(utilization)
 
 
 def even_demand(engine: EngineProfile) -> tuple[tuple[float, ...], ...]:
@@ -216,8 +218,8 @@
     )
 
 
-def _min_gain(use: float) -> float:
-    return MIN_GAIN + (MIN_GAIN_IDLE - MIN_GAIN) * (1 - min(1, use))
+def _min_gain(utilization: float) -> float:
+    return MIN_GAIN + (MIN_GAIN_IDLE - MIN_GAIN) * (1 - min(1, utilization))
 
 
 def _copy_cost(engine: EngineProfile, ranks: int) -> float:
--- a/linnetwind/target_map_test.py
+++ b/linnetwind/target_map_test.py
@@ -54,7 +54,7 @@
     skews = []
     for _plan in range(3):
         planned = plan_map(
-            maps, _demand(seed), REPORTS, ENGINE, use=1, force=False
+            maps, _demand(seed), REPORTS, ENGINE, utilization=1, force=False
         )
         skews.append(planned.skew_before)
         if planned.target is None:
@@ -67,7 +67,9 @@
 @pytest.mark.parametrize('seed', range(5))
 def test_a_plan_keeps_the_limits_of_the_engines(seed):
     maps = _round_robin_map()
-    planned = plan_map(maps, _demand(seed), REPORTS, ENGINE, use=1, force=False)
+    planned = plan_map(
+        maps, _demand(seed), REPORTS, ENGINE, utilization=1, force=False
+    )
     maps_after = planned.target.maps
     by_rank = [0] * RANKS
     for layer in _new_experts(maps, maps_after):
@@ -85,9 +87,12 @@
     maps = _round_robin_map()
     flat = even_demand(ENGINE)
     assert (
-        plan_map(maps, flat, REPORTS, ENGINE, use=1, force=False).target is None
+        plan_map(maps, flat, REPORTS, ENGINE, utilization=1, force=False).target
+        is None
     )
-    forced = plan_map(maps, flat, REPORTS, ENGINE, use=1, force=True).target
+    forced = plan_map(
+        maps, flat, REPORTS, ENGINE, utilization=1, force=True
+    ).target
     assert forced is not None
     assert forced.version > 0
 
@@ -99,7 +104,7 @@
     maps = _round_robin_map()
     for _plan in range(4):
         planned = plan_map(
-            maps, _demand(1), REPORTS, ENGINE, use=1, force=False
+            maps, _demand(1), REPORTS, ENGINE, utilization=1, force=False
         )
         maps = planned.target.maps if planned.target else maps
     shifted = tuple(
@@ -109,15 +114,22 @@
         )
         for layer in _demand(1)
     )
-    full = plan_map(maps, shifted, REPORTS, ENGINE, use=1, force=False)
-    calm = plan_map(maps, shifted, REPORTS, ENGINE, use=0.3, force=False)
+    full = plan_map(maps, shifted, REPORTS, ENGINE, utilization=1, force=False)
+    calm = plan_map(
+        maps, shifted, REPORTS, ENGINE, utilization=0.3, force=False
+    )
     assert full.target is not None
     assert calm.target is None
 
 
 def test_a_large_gain_is_planned_in_a_group_with_few_streams():
     planned = plan_map(
-        _round_robin_map(), _demand(1), REPORTS, ENGINE, use=0.1, force=False
+        _round_robin_map(),
+        _demand(1),
+        REPORTS,
+        ENGINE,
+        utilization=0.1,
+        force=False,
     )
     assert planned.target is not None
 
@@ -125,7 +137,12 @@
 def test_version_is_above_all_seen_versions():
     reports = {**REPORTS, 3: replace(REPORTS[3], prepared=7_000_123)}
     planned = plan_map(
-        _round_robin_map(), _demand(1), reports, ENGINE, use=1, force=False
+        _round_robin_map(),
+        _demand(1),
+        reports,
+        ENGINE,
+        utilization=1,
+        force=False,
     )
     assert planned.target.version >= 8_000_000
 
@@ -137,7 +154,9 @@
     demand = _demand(2)
     reports = {**REPORTS, 5: replace(REPORTS[5], pace=3)}
     for _plan in range(4):
-        planned = plan_map(maps, demand, reports, ENGINE, use=1, force=False)
+        planned = plan_map(
+            maps, demand, reports, ENGINE, utilization=1, force=False
+        )
         if planned.target is None:
             break
         maps = planned.target.maps
@@ -153,19 +172,21 @@
 def test_no_plan_is_made_where_balance_would_gain_too_little():
     # Most polls find a group near balance. A plan at each of them kept the
     # process that also relays streams busy, and changed nothing.
-    assert not can_gain(1.1, use=1, futile_skew=0)
-    assert can_gain(1.3, use=1, futile_skew=0)
-    assert not can_gain(1.3, use=0.1, futile_skew=0)
-    assert can_gain(3, use=0.1, futile_skew=0)
+    assert not can_gain(1.1, utilization=1, futile_skew=0)
+    assert can_gain(1.3, utilization=1, futile_skew=0)
+    assert not can_gain(1.3, utilization=0.1, futile_skew=0)
+    assert can_gain(3, utilization=0.1, futile_skew=0)
 
 
 def test_no_plan_after_a_futile_one_while_the_skew_stays():
-    assert not can_gain(1.52, use=1, futile_skew=1.5)
-    assert can_gain(1.7, use=1, futile_skew=1.5)
+    assert not can_gain(1.52, utilization=1, futile_skew=1.5)
+    assert can_gain(1.7, utilization=1, futile_skew=1.5)
 
 
 def test_map_skew_equals_the_skew_before_the_plan():
     maps = _round_robin_map()
-    planned = plan_map(maps, _demand(3), REPORTS, ENGINE, use=1, force=False)
+    planned = plan_map(
+        maps, _demand(3), REPORTS, ENGINE, utilization=1, force=False
+    )
     measured = map_skew(maps, _demand(3), REPORTS, ENGINE)
     assert measured == pytest.approx(planned.skew_before)
--- a/standins/bench_plans.py
+++ b/standins/bench_plans.py
@@ -87,7 +87,9 @@
         if number and number % _PLANS_A_SHIFT == 0:
             demand = tuple(_shift(layer, source) for layer in demand)
         begun = time.thread_time()
-        plan = plan_map(maps, demand, reports, engine, use=1, force=False)
+        plan = plan_map(
+            maps, demand, reports, engine, utilization=1, force=False
+        )
         took = time.thread_time() - begun
         if plan.target is None:
             planned.append(Planned(took, plan.skew_before, 0))
