--- a/linnetwind/call_admission_test.py
+++ b/linnetwind/call_admission_test.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from linnetwind.clock import ManualClock
 from linnetwind.call_admission import (
     STATUS_RETENTION,
     CallAdmission,
     Refuse,
     StartCall,
 )
+from linnetwind.clock import ManualClock
 from linnetwind.outcome import Reason
 
 LONG = timedelta(seconds=30)
--- a/linnetwind/caller_service.py
+++ b/linnetwind/caller_service.py
@@ -8,8 +8,8 @@
     CallerConnection,
     ConnectionEnded,
 )
-from linnetwind.request_context import GatewayContext
 from linnetwind.relay import Relay
+from linnetwind.request_context import GatewayContext
 from linnetwind.routes import CallerLimits
 
 
--- a/linnetwind/claims_test.py
+++ b/linnetwind/claims_test.py
@@ -4,10 +4,10 @@
     CLAIMS_CODEC,
     Claim,
     ClaimedKey,
-    RecordedOutcome,
     FinishedKey,
-    SlotTakeover,
+    RecordedOutcome,
     SlotLedger,
+    SlotTakeover,
     StoredResponse,
     WithdrawnClaim,
 )
--- a/linnetwind/crash_guard.py
+++ b/linnetwind/crash_guard.py
@@ -3,12 +3,12 @@
 from datetime import timedelta
 
 from linnetwind.gateway_events import UpstreamCrashed
+from linnetwind.rank_crashes import record_rank_crash
 from linnetwind.request_context import (
-    RequestResult,
     GatewayContext,
     RequestContext,
+    RequestResult,
 )
-from linnetwind.rank_crashes import record_rank_crash
 from linnetwind.upstream_call import CONNECT_TIMEOUT, BrokenCall, ConnectFailed
 from linnetwind.upstream_list import Upstream
 
--- a/linnetwind/crash_tracker.py
+++ b/linnetwind/crash_tracker.py
@@ -6,11 +6,11 @@
 
 from linnetwind.ages import age_of, moment_of
 from linnetwind.clock import Clock
-from linnetwind.crash_history import Crash, CrashHistory, AdvertisedCrash
+from linnetwind.crash_history import AdvertisedCrash, Crash, CrashHistory
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.upstream_incarnation import (
-    UpstreamIncarnation,
     IncarnationTag,
+    UpstreamIncarnation,
     tag_incarnation,
 )
 
--- a/linnetwind/dispatch.py
+++ b/linnetwind/dispatch.py
@@ -4,12 +4,12 @@
 from datetime import timedelta
 from itertools import count
 
-from linnetwind.in_flight_call import InFlightCall, OpenResponse, SentCall
 from linnetwind.clock import Clock
 from linnetwind.decision_log import log_decision
 from linnetwind.dispatch_crash_tracker import DispatchCrashTracker
 from linnetwind.fleet import Fleet
 from linnetwind.http_request import CheckedRequest
+from linnetwind.in_flight_call import InFlightCall, OpenResponse, SentCall
 from linnetwind.link_pool import LinkPool
 from linnetwind.messages import Call
 from linnetwind.outcome import NotRun, Reason, Unknown
--- a/linnetwind/dispatch_crash_tracker.py
+++ b/linnetwind/dispatch_crash_tracker.py
@@ -5,14 +5,14 @@
 from datetime import timedelta
 from itertools import count
 
-from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.clock import Clock
 from linnetwind.crash_tracker import CrashTracker
 from linnetwind.decision_log import log_decision
 from linnetwind.fingerprint import Fingerprint, fingerprint_request
 from linnetwind.http_request import CheckedRequest
-from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.outcome import NotRun, Reason, Unknown
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 
 _FIRST_FAILURE = 400
 
--- a/linnetwind/drain_order_test.py
+++ b/linnetwind/drain_order_test.py
@@ -4,7 +4,6 @@
 from datetime import timedelta
 
 from linnetwind.address import Address
-from linnetwind.peer_table import PeerTable
 from linnetwind.drain_order import (
     MAX_PLANNING_TIME,
     RESTART_DELAY,
@@ -18,6 +17,7 @@
     plans_while_stopping,
     reachable_fleet,
 )
+from linnetwind.peer_table import PeerTable
 from standins.gateway_fixtures import make_peer
 
 NOW = timedelta(seconds=100)
--- a/linnetwind/entry_app.py
+++ b/linnetwind/entry_app.py
@@ -12,7 +12,6 @@
 from loguru import logger
 from result import Err, Ok
 
-from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.config import ServiceKind
 from linnetwind.decision_log import log_decision
 from linnetwind.dispatch import Dispatcher
@@ -24,6 +23,7 @@
     HttpRequest,
     check_request,
 )
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.outcome import NotRun, Reason, Unknown
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
--- a/linnetwind/entry_limits.py
+++ b/linnetwind/entry_limits.py
@@ -8,13 +8,13 @@
 from collections import defaultdict
 
 from linnetwind.clock import Clock
-from linnetwind.decision_log import log_decision
-from linnetwind.http_request import CheckedRequest
 from linnetwind.customer_rate_limits import (
     Admitted,
     CustomerRateLimiter,
     OverLimit,
 )
+from linnetwind.decision_log import log_decision
+from linnetwind.http_request import CheckedRequest
 from linnetwind.link_pool import LinkPool
 from linnetwind.messages import CustomerDemand, Demand, Shares
 from linnetwind.outcome import NotRun, Reason
--- a/linnetwind/gateway_daemon.py
+++ b/linnetwind/gateway_daemon.py
@@ -18,21 +18,21 @@
 from linnetwind.clock import Clock
 from linnetwind.daemon_events import Started, Stopped, Stopping
 from linnetwind.daemon_threads import DaemonThreads
+from linnetwind.drain_order import FleetDaemon
+from linnetwind.event_log import EventLog
 from linnetwind.gateway_events import SettingsReloaded
 from linnetwind.gateway_feeds import GatewayFeeds
 from linnetwind.gateway_metrics import GatewayMetrics
 from linnetwind.gateway_setup import GatewayPorts, GatewaySetup
 from linnetwind.gateway_state import GatewayState
 from linnetwind.gateway_stop import make_stop
-from linnetwind.request_context import GatewayContext
 from linnetwind.map_planner import MapPlanner
 from linnetwind.peer_mesh import MeshSettings, PeerMesh
 from linnetwind.quarantine_store import QuarantineStore
 from linnetwind.rank_link import RankLink
+from linnetwind.request_context import GatewayContext
 from linnetwind.routes import CallerLimits
-from linnetwind.event_log import EventLog
 from linnetwind.stop_signals import StopSignals
-from linnetwind.drain_order import FleetDaemon
 from linnetwind.upstream_call import open_call
 from linnetwind.upstream_list import Upstream
 
--- a/linnetwind/gateway_feeds.py
+++ b/linnetwind/gateway_feeds.py
@@ -7,22 +7,22 @@
 from linnetwind.bad_format import BadFormat
 from linnetwind.clock import Clock
 from linnetwind.daemon_threads import DaemonThreads
+from linnetwind.event_log import EventLog
 from linnetwind.gateway_events import (
     BadRecord,
     ConfigurationApplied,
     UpstreamsChanged,
 )
 from linnetwind.gateway_state import GatewayState
-from linnetwind.record_follower import TopicUpdate, PeerRecords, RecordFollower
+from linnetwind.record_follower import PeerRecords, RecordFollower, TopicUpdate
 from linnetwind.record_store import KeyedRecord, Records, RecordStore, Topic
 from linnetwind.routes import RouteTable
-from linnetwind.event_log import EventLog
 from linnetwind.store_rate_limit import (
     StoreRateLimit,
     configuration_rate_limit,
     upstreams_rate_limit,
 )
-from linnetwind.upstream_list import UpstreamRecord, UpstreamList
+from linnetwind.upstream_list import UpstreamList, UpstreamRecord
 
 # How often a daemon checks whether a peer has a newer configuration. It fetches
 # one from a peer if the store has not delivered it by the next check.
--- a/linnetwind/gateway_metrics.py
+++ b/linnetwind/gateway_metrics.py
@@ -16,6 +16,7 @@
 
 from linnetwind.daemon_events import BadAnswer
 from linnetwind.daemon_threads import RoundFailed
+from linnetwind.event_log import LinesDropped
 from linnetwind.gateway_events import (
     AttemptFailed,
     BackoffAsked,
@@ -29,7 +30,6 @@
     RequestEnded,
     UpstreamCrashed,
 )
-from linnetwind.event_log import LinesDropped
 
 # Histogram buckets in seconds; the targets for the first event of a stream are
 # around half a second.
--- a/linnetwind/gateway_state.py
+++ b/linnetwind/gateway_state.py
@@ -10,15 +10,14 @@
 from datetime import timedelta
 
 from linnetwind.address import Address
+from linnetwind.admission_policy import CapacityView
 from linnetwind.clock import Clock
 from linnetwind.group_capacity import UNNAMED_GROUP, GroupCount
-from linnetwind.upstream_incarnation import UpstreamIncarnation
-from linnetwind.peer_table import PeerTable, PeerState
-from linnetwind.shared_retry_budget import RetryBudgetTerms
+from linnetwind.peer_table import PeerState, PeerTable
+from linnetwind.request_counts import RequestCounts
 from linnetwind.request_history import RequestHistory, make_request_history
 from linnetwind.routes import RoutedService, RouteTable
-from linnetwind.request_counts import RequestCounts
-from linnetwind.admission_policy import CapacityView
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.stream_admission_control import StreamAdmission
 from linnetwind.upstream_backoff import UpstreamBackoffs
 from linnetwind.upstream_choice import (
@@ -29,6 +28,7 @@
     record_answer,
     record_connect_failure,
 )
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_limits import Reservation
 from linnetwind.upstream_list import Upstream, UpstreamList
 
--- a/linnetwind/gateway_stop.py
+++ b/linnetwind/gateway_stop.py
@@ -6,7 +6,6 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
-from linnetwind.peer_table import PeerTable
 from linnetwind.drain_order import (
     Fleet,
     FleetDaemon,
@@ -16,6 +15,7 @@
     may_drain,
     reachable_fleet,
 )
+from linnetwind.peer_table import PeerTable
 
 # The time after which the platform sends no more connections to a daemon that
 # is not ready. The platform sends a readiness probe each second and takes the
--- a/linnetwind/gateway_stop_test.py
+++ b/linnetwind/gateway_stop_test.py
@@ -6,6 +6,7 @@
 import pytest
 
 from linnetwind.clock import ManualClock
+from linnetwind.drain_order import RESTART_DELAY, Fleet, FleetDaemon, StopTime
 from linnetwind.gateway_stop import (
     AWAITED_DRAIN_TIME,
     COMPLETION_FRACTION,
@@ -22,7 +23,6 @@
     retry_after,
     stop_phase,
 )
-from linnetwind.drain_order import RESTART_DELAY, Fleet, FleetDaemon, StopTime
 
 GRACE = timedelta(seconds=8)
 MOMENT = timedelta(milliseconds=1)
--- a/linnetwind/group_capacity.py
+++ b/linnetwind/group_capacity.py
@@ -6,10 +6,10 @@
 from datetime import timedelta
 
 from linnetwind.group_outages import (
-    GroupHealth,
     GroupAnnouncement,
-    time_until_open,
+    GroupHealth,
     apply_announcement,
+    time_until_open,
 )
 from linnetwind.pass_time_estimator import (
     DEFAULT_SKEW,
--- a/linnetwind/group_log_test.py
+++ b/linnetwind/group_log_test.py
@@ -9,9 +9,9 @@
 from linnetwind.config import Group
 from linnetwind.group_log import (
     GROUP_CODEC,
+    CoordinatorRenewal,
     CoordinatorTakeover,
     GroupRole,
-    CoordinatorRenewal,
     Target,
     fold_role,
     pack_map,
@@ -19,8 +19,8 @@
     unpack_map,
 )
 from linnetwind.group_planner import (
-    RENEW_INTERVAL,
     COORDINATOR_TIMEOUT,
+    RENEW_INTERVAL,
     GroupPlanner,
 )
 from linnetwind.log_port import Entry
--- a/linnetwind/group_observations.py
+++ b/linnetwind/group_observations.py
@@ -8,12 +8,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
+from linnetwind.rank_messages import RankSnapshot
+from linnetwind.rank_types import LaneCounts, RankMaps, RankReport
 from linnetwind.upstream_incarnation import (
     UpstreamIncarnation,
     name_incarnation,
 )
-from linnetwind.rank_messages import RankSnapshot
-from linnetwind.rank_types import LaneCounts, RankMaps, RankReport
 from linnetwind.upstream_list import Upstream
 
 
--- a/linnetwind/group_outages_test.py
+++ b/linnetwind/group_outages_test.py
@@ -7,11 +7,11 @@
 
 from linnetwind.group_outages import (
     DEFAULT_OUTAGE,
-    GroupHealth,
     GroupAnnouncement,
-    time_until_open,
-    record_crash,
+    GroupHealth,
     apply_announcement,
+    record_crash,
+    time_until_open,
 )
 
 MS = timedelta(milliseconds=1)
--- a/linnetwind/group_planner.py
+++ b/linnetwind/group_planner.py
@@ -18,9 +18,9 @@
 from linnetwind.expert_load import LoadEstimate, update_load_estimate
 from linnetwind.group_log import (
     GROUP_CODEC,
+    CoordinatorRenewal,
     CoordinatorTakeover,
     GroupRole,
-    CoordinatorRenewal,
     Target,
     fold_role,
     pack_map,
@@ -30,8 +30,8 @@
 from linnetwind.log_port import LogPort, read_to_end
 from linnetwind.mapcoordinator import (
     Coordination,
-    request_preparation,
     apply_prepared,
+    request_preparation,
 )
 from linnetwind.mapswitch_types import (
     Attempt,
--- a/linnetwind/group_summary_test.py
+++ b/linnetwind/group_summary_test.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from linnetwind.group_summary import make_summaries
 from linnetwind.group_observations import ObservedRank
+from linnetwind.group_summary import make_summaries
 from linnetwind.planned_group import (
     GROUP_EXPIRY,
     PlannedGroup,
--- a/linnetwind/in_flight_call.py
+++ b/linnetwind/in_flight_call.py
@@ -5,6 +5,12 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from linnetwind.clock import Clock
+from linnetwind.fleet import Fleet
+from linnetwind.link import CallStream, Link
+from linnetwind.link_pool import LinkPool
+from linnetwind.messages import Cancel, Headers
+from linnetwind.outcome import NotRun, Reason, Unknown
 from linnetwind.response_assembler import (
     Body,
     Failed,
@@ -14,12 +20,6 @@
     ResponseAssembler,
     Step,
 )
-from linnetwind.clock import Clock
-from linnetwind.fleet import Fleet
-from linnetwind.link import CallStream, Link
-from linnetwind.link_pool import LinkPool
-from linnetwind.messages import Cancel, Headers
-from linnetwind.outcome import NotRun, Reason, Unknown
 
 STATUS_QUERY_SECONDS = 1.0
 MAX_BUFFERED_BYTES = 65_536
--- a/linnetwind/in_flight_call_test.py
+++ b/linnetwind/in_flight_call_test.py
@@ -7,28 +7,28 @@
 
 import pytest
 
-from linnetwind.response_assembler import LinkLost
+from linnetwind.clock import ManualClock
+from linnetwind.fleet import Fleet
 from linnetwind.in_flight_call import (
     MAX_BUFFERED_BYTES,
-    InterruptedResponse,
     InFlightCall,
+    InterruptedResponse,
     OpenResponse,
     SentCall,
 )
-from linnetwind.clock import ManualClock
-from linnetwind.fleet import Fleet
 from linnetwind.link import CallStream
 from linnetwind.messages import (
+    CallStatus,
     Cancel,
     Challenge,
     Chunk,
     End,
-    CallStatus,
     Head,
     Lost,
     Refused,
 )
 from linnetwind.outcome import NotRun, Reason, Unknown
+from linnetwind.response_assembler import LinkLost
 
 
 def peer(incarnation):
--- a/linnetwind/keyed_calls_test.py
+++ b/linnetwind/keyed_calls_test.py
@@ -6,9 +6,9 @@
 import pytest
 
 from linnetwind.address import Address
+from linnetwind.call_admission import CallAdmission
 from linnetwind.claims import CLAIMS_CODEC, Claim, SlotTakeover, slot_stream
 from linnetwind.clock import ManualClock
-from linnetwind.call_admission import CallAdmission
 from linnetwind.keyed_calls import MAX_STORED_BODY_BYTES, KeyedCalls
 from linnetwind.messages import Call, Chunk, End, Head, Lost, Refused
 from linnetwind.outcome import Reason
--- a/linnetwind/link.py
+++ b/linnetwind/link.py
@@ -10,14 +10,13 @@
 from websockets.sync.client import ClientConnection, connect
 
 from linnetwind.address import Address
-from linnetwind.response_assembler import Frame, LinkLost
 from linnetwind.messages import (
     Call,
+    CallStatus,
+    CallStatusQuery,
     Challenge,
     Chunk,
     End,
-    CallStatus,
-    CallStatusQuery,
     Head,
     Lost,
     Refused,
@@ -31,6 +30,7 @@
     receive_message,
     send_message,
 )
+from linnetwind.response_assembler import Frame, LinkLost
 
 MessageHandler = Callable[['Link', Any], None]
 LossHandler = Callable[['Link'], None]
--- a/linnetwind/map_planner.py
+++ b/linnetwind/map_planner.py
@@ -10,6 +10,7 @@
 from datetime import timedelta
 
 from linnetwind.clock import Clock
+from linnetwind.event_log import EventLog
 from linnetwind.gateway_events import (
     GroupChanged,
     LeaderChanged,
@@ -18,15 +19,14 @@
     OrderFailed,
 )
 from linnetwind.gateway_state import GatewayState
-from linnetwind.group_summary import is_open, make_summaries
 from linnetwind.group_observations import (
     counts_of,
-    newest_by_address,
     index_by_group,
+    newest_by_address,
 )
-from linnetwind.target_map import can_gain, even_demand, map_skew, plan_map
-from linnetwind.peer_table import GroupSummary
+from linnetwind.group_summary import is_open, make_summaries
 from linnetwind.peer_mesh import PeerMesh
+from linnetwind.peer_table import GroupSummary
 from linnetwind.planned_group import (
     PlannedGroup,
     PlannedService,
@@ -43,13 +43,13 @@
 from linnetwind.rollout import (
     LEAD_PASSES,
     LONG_LEAD_PASSES,
-    TargetMap,
     Round,
+    TargetMap,
     is_whole,
     next_round,
 )
 from linnetwind.routes import RoutedService
-from linnetwind.event_log import EventLog
+from linnetwind.target_map import can_gain, even_demand, map_skew, plan_map
 from linnetwind.upstream_list import Upstream
 
 # How often the ranks are polled for their counts: about every two passes.
--- a/linnetwind/map_planner_test.py
+++ b/linnetwind/map_planner_test.py
@@ -21,9 +21,9 @@
     RankExperts,
     RankReport,
 )
-from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService, RouteTable
-from linnetwind.upstream_list import UpstreamRecord, UpstreamList
+from linnetwind.shared_retry_budget import RetryBudgetTerms
+from linnetwind.upstream_list import UpstreamList, UpstreamRecord
 from standins.gateway_fixtures import (
     make_engine,
     make_report,
--- a/linnetwind/peer_connection_test.py
+++ b/linnetwind/peer_connection_test.py
@@ -9,10 +9,10 @@
 from linnetwind.messages import Call, Hello, Proof
 from linnetwind.peer_connection import (
     Identity,
+    accept_handshake,
     connect_handshake,
     receive_message,
     send_message,
-    accept_handshake,
 )
 from linnetwind.wire import PEER_CODEC, PROTOCOL_VERSION
 
--- a/linnetwind/peer_mesh.py
+++ b/linnetwind/peer_mesh.py
@@ -19,6 +19,7 @@
 from linnetwind.clock import Clock
 from linnetwind.codec import Codec
 from linnetwind.daemon_threads import DaemonThreads
+from linnetwind.drain_order import StopTime, plans_while_stopping
 from linnetwind.frames import receive_frame, send_frame
 from linnetwind.gateway_state import GatewayState
 from linnetwind.peer_table import (
@@ -36,7 +37,6 @@
     StoreUnavailable,
     Topic,
 )
-from linnetwind.drain_order import StopTime, plans_while_stopping
 from linnetwind.upstream_limits import ServiceDemand
 
 _QUERY_TIMEOUT_S = 0.4
--- a/linnetwind/peer_wire_test.py
+++ b/linnetwind/peer_wire_test.py
@@ -11,11 +11,6 @@
 from linnetwind.address import Address
 from linnetwind.crash_history import AdvertisedCrash
 from linnetwind.fingerprint import Fingerprint
-from linnetwind.upstream_incarnation import (
-    UpstreamIncarnation,
-    IncarnationTag,
-    tag_incarnation,
-)
 from linnetwind.peer_table import (
     GroupSummary,
     PassTimePerStream,
@@ -23,7 +18,12 @@
     StreamLoad,
 )
 from linnetwind.peer_wire import FullStateSchedule, StateReader, pack_state
-from linnetwind.upstream_limits import ServiceDemand, AdvertisedLimit
+from linnetwind.upstream_incarnation import (
+    IncarnationTag,
+    UpstreamIncarnation,
+    tag_incarnation,
+)
+from linnetwind.upstream_limits import AdvertisedLimit, ServiceDemand
 
 SECOND = timedelta(seconds=1)
 RANKS = [
--- a/linnetwind/planned_group.py
+++ b/linnetwind/planned_group.py
@@ -6,12 +6,12 @@
 
 from linnetwind.expert_demand import ExpertDemand
 from linnetwind.group_observations import ObservedRank, held_maps
-from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.pass_time_estimator import DEFAULT_SKEW
 from linnetwind.planner_backoff import PlannerBackoff
 from linnetwind.rank_link import GroupLinks
 from linnetwind.rank_types import RankMaps, RankReport
 from linnetwind.rollout import TargetMap, is_whole
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 
 Reports = dict[int, RankReport]
 
--- a/linnetwind/platform/entry.py
+++ b/linnetwind/platform/entry.py
@@ -4,6 +4,7 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import SystemClock
+from linnetwind.event_log import stdout_log
 from linnetwind.gateway_daemon import GatewayDaemon
 from linnetwind.gateway_feeds import FeedPorts
 from linnetwind.gateway_setup import GatewayPorts, GatewaySetup
@@ -13,7 +14,6 @@
 from linnetwind.platform.store_client import StoreClient
 from linnetwind.platform.table_format import CONFIGURATION_KEY, decode_table
 from linnetwind.platform.upstream_format import decode_upstream
-from linnetwind.event_log import stdout_log
 
 
 def run_entry(metrics_port: int, front: socket.socket) -> None:
--- a/linnetwind/platform/headers.py
+++ b/linnetwind/platform/headers.py
@@ -4,11 +4,11 @@
 from datetime import timedelta
 
 from linnetwind.call_types import (
-    ResponseFacts,
     CallerRequest,
-    RequestFacts,
     Forwarding,
     Headers,
+    RequestFacts,
+    ResponseFacts,
     TokenCounts,
 )
 
--- a/linnetwind/platform/rank.py
+++ b/linnetwind/platform/rank.py
@@ -2,10 +2,10 @@
 
 from linnetwind.address import Address
 from linnetwind.clock import SystemClock
+from linnetwind.event_log import stdout_log
 from linnetwind.platform.rank_client import LOCAL_TIMEOUT, RankClient
 from linnetwind.platform.settings import read_settings
 from linnetwind.rank_agent import RankAgent
-from linnetwind.event_log import stdout_log
 
 
 def run_rank() -> None:
--- a/linnetwind/platform/rank_client.py
+++ b/linnetwind/platform/rank_client.py
@@ -15,6 +15,7 @@
 from linnetwind.address import Address
 from linnetwind.bad_format import BadFormat
 from linnetwind.daemon_events import BadAnswer
+from linnetwind.event_log import EventLog
 from linnetwind.platform.decoding import Decoded
 from linnetwind.platform.rank_format import (
     decode_counts,
@@ -29,7 +30,6 @@
     RankOrder,
     RankReport,
 )
-from linnetwind.event_log import EventLog
 
 # A worker responds within a few milliseconds. While a pass is held, an order
 # without a response stalls the whole group, so the timeouts are short. The one
--- a/linnetwind/quarantine_store.py
+++ b/linnetwind/quarantine_store.py
@@ -16,6 +16,7 @@
 from linnetwind.clock import Clock
 from linnetwind.codec import Codec
 from linnetwind.crash_tracker import CrashTracker
+from linnetwind.event_log import EventLog
 from linnetwind.fingerprint import Fingerprint
 from linnetwind.gateway_events import (
     BadRecord,
@@ -23,7 +24,6 @@
     DependencyLost,
     QuarantineRestored,
 )
-from linnetwind.upstream_incarnation import IncarnationTag
 from linnetwind.record_follower import RETRY_PAUSE
 from linnetwind.record_store import (
     KeyedRecord,
@@ -31,7 +31,7 @@
     StoreUnavailable,
     Topic,
 )
-from linnetwind.event_log import EventLog
+from linnetwind.upstream_incarnation import IncarnationTag
 
 # How often a round checks whether the store has lost records and whether
 # quarantines have ended.
--- a/linnetwind/quarantine_store_test.py
+++ b/linnetwind/quarantine_store_test.py
@@ -13,9 +13,9 @@
     DependencyLost,
     QuarantineRestored,
 )
-from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.quarantine_store import QuarantineStore
 from linnetwind.record_store import KeyedRecord, Records, StoreUnavailable
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from standins.gateway_harness import ListLog
 
 SECOND = timedelta(seconds=1)
--- a/linnetwind/rank_agent.py
+++ b/linnetwind/rank_agent.py
@@ -18,12 +18,13 @@
 from linnetwind.clock import Clock
 from linnetwind.daemon_events import Started, Stopped, Stopping
 from linnetwind.daemon_threads import DaemonThreads
+from linnetwind.event_log import EventLog
 from linnetwind.frames import receive_frame, send_frame
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    RankQuery,
     OrderReply,
     PackedPrepare,
+    RankQuery,
     RankSnapshot,
     make_lane_counts,
     pack_snapshot,
@@ -31,7 +32,6 @@
 )
 from linnetwind.rank_packing import UnpackError
 from linnetwind.rank_types import LaneCounts, RankOrder, RankPort
-from linnetwind.event_log import EventLog
 from linnetwind.stop_signals import StopSignals
 
 # There is one planner at a time, or a few while the leader changes.
--- a/linnetwind/rank_link.py
+++ b/linnetwind/rank_link.py
@@ -16,25 +16,25 @@
 from linnetwind.address import Address
 from linnetwind.clock import Clock
 from linnetwind.frames import receive_frame, send_frame
-from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    RankQuery,
     OrderReply,
     PackedPrepare,
     PackedRankSnapshot,
+    RankQuery,
     RankSnapshot,
     pack_order,
     unpack_snapshot,
 )
 from linnetwind.rank_packing import UnpackError
 from linnetwind.rank_types import (
-    LaneCounts,
     HoldPass,
+    LaneCounts,
     RankOrder,
     RankPort,
     ReleasePass,
 )
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_list import Upstream
 
 # The agent queries the engine on its own host, and both respond within
--- a/linnetwind/rank_link_test.py
+++ b/linnetwind/rank_link_test.py
@@ -13,10 +13,10 @@
 from linnetwind.rank_link import RankLink
 from linnetwind.rank_messages import (
     RANK_CODEC,
-    RankQuery,
     PackedCounts,
     PackedPrepare,
     PackedRankSnapshot,
+    RankQuery,
     make_lane_counts,
 )
 from linnetwind.rank_types import (
--- a/linnetwind/rank_messages.py
+++ b/linnetwind/rank_messages.py
@@ -14,9 +14,9 @@
 )
 from linnetwind.rank_types import (
     ArmMap,
-    LaneCounts,
     DisarmMap,
     HoldPass,
+    LaneCounts,
     OrderResult,
     PrepareMap,
     RankCounts,
--- a/linnetwind/record_follower.py
+++ b/linnetwind/record_follower.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from linnetwind.clock import Clock
+from linnetwind.event_log import EventLog
 from linnetwind.gateway_events import (
     DependencyBack,
     DependencyLost,
@@ -21,7 +22,6 @@
     Topic,
     Trimmed,
 )
-from linnetwind.event_log import EventLog
 from linnetwind.store_rate_limit import StoreRateLimit
 
 # The longest wait before a retry while the store is unavailable. Each wait is
--- a/linnetwind/relay.py
+++ b/linnetwind/relay.py
@@ -4,10 +4,15 @@
 from datetime import timedelta
 from http import HTTPStatus
 
+from linnetwind.admission_policy import (
+    STOPPING,
+    RejectStream,
+    clamp_retry_after,
+)
 from linnetwind.call_policy import (
     Allowed,
-    FailedAttempt,
     Denied,
+    FailedAttempt,
     GiveUp,
     RequestProgress,
     RetryElsewhere,
@@ -28,24 +33,19 @@
 from linnetwind.gateway_stop import EndEstimate
 from linnetwind.group_wait import await_open_group, group_opens_in
 from linnetwind.request_context import (
-    RequestResult,
     GatewayContext,
     RequestContext,
+    RequestResult,
     respond_to_caller,
 )
 from linnetwind.request_end_log import log_request_end
 from linnetwind.routes import RouteTable, choose_service
-from linnetwind.admission_policy import (
-    STOPPING,
-    RejectStream,
-    clamp_retry_after,
-)
-from linnetwind.upstream_attempt import UpstreamAttempt
 from linnetwind.upstream_acquisition import (
     MIN_RETRY_DELAY,
     acquire_or_wait,
     time_until_accepted,
 )
+from linnetwind.upstream_attempt import UpstreamAttempt
 from linnetwind.upstream_list import Upstream
 from linnetwind.wait_queue import PermitRequest
 
--- a/linnetwind/request_context.py
+++ b/linnetwind/request_context.py
@@ -7,19 +7,19 @@
 from linnetwind.call_policy import FailedAttempt
 from linnetwind.call_types import (
     CallerRequest,
-    RequestFacts,
     Dialect,
     Headers,
+    RequestFacts,
 )
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.clock import Clock
+from linnetwind.event_log import EventLog
 from linnetwind.fingerprint import Fingerprint, fingerprint_request
 from linnetwind.gateway_state import GatewayState
 from linnetwind.gateway_stop import GatewayStop
 from linnetwind.open_work import OpenWork
 from linnetwind.routes import Route, RoutedService, RouteTable
 from linnetwind.stream_durations import StreamDurations
-from linnetwind.event_log import EventLog
 from linnetwind.upstream_call import (
     BrokenCall,
     CallerDisconnected,
--- a/linnetwind/request_end_log.py
+++ b/linnetwind/request_end_log.py
@@ -2,9 +2,9 @@
 
 from linnetwind.gateway_events import RequestEnded
 from linnetwind.request_context import (
-    RequestResult,
     GatewayContext,
     RequestContext,
+    RequestResult,
 )
 
 
--- a/linnetwind/request_history.py
+++ b/linnetwind/request_history.py
@@ -5,7 +5,7 @@
 
 from linnetwind.clock import Clock
 from linnetwind.crash_tracker import CrashTracker
-from linnetwind.peer_table import PeerTable, PeerState, demands_of
+from linnetwind.peer_table import PeerState, PeerTable, demands_of
 from linnetwind.refusal_history import RefusalTracker
 from linnetwind.shared_retry_budget import RetryBudgetTerms, SharedRetryBudget
 from linnetwind.upstream_backoff import UpstreamBackoffs
--- a/linnetwind/response_assembler_test.py
+++ b/linnetwind/response_assembler_test.py
@@ -4,6 +4,8 @@
 
 import pytest
 
+from linnetwind.messages import Chunk, End, Head, Lost, Refused
+from linnetwind.outcome import NotRun, Reason, Unknown
 from linnetwind.response_assembler import (
     Body,
     Failed,
@@ -12,8 +14,6 @@
     Opened,
     ResponseAssembler,
 )
-from linnetwind.messages import Chunk, End, Head, Lost, Refused
-from linnetwind.outcome import NotRun, Reason, Unknown
 
 FRAMES = (
     Head('c', 200, ()),
--- a/linnetwind/response_relay.py
+++ b/linnetwind/response_relay.py
@@ -7,9 +7,9 @@
 from linnetwind.event_stream import EventSplitter, StreamEvent
 from linnetwind.request_context import (
     CALLER_LEFT,
-    RequestResult,
     GatewayContext,
     RequestContext,
+    RequestResult,
     as_failed_attempt,
     respond_to_caller,
     with_connection_close,
--- a/linnetwind/rollout_test.py
+++ b/linnetwind/rollout_test.py
@@ -16,9 +16,9 @@
 from linnetwind.rollout import (
     LEAD_PASSES,
     LONG_LEAD_PASSES,
-    TargetMap,
     RankCommand,
     Round,
+    TargetMap,
     is_whole,
     next_round,
 )
--- a/linnetwind/service_capacity.py
+++ b/linnetwind/service_capacity.py
@@ -5,6 +5,11 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
+from linnetwind.admission_policy import (
+    CapacityView,
+    reserve_for_arrivals,
+    reserve_for_newcomers,
+)
 from linnetwind.group_capacity import (
     GROUP_EXPIRY,
     GroupCapacity,
@@ -13,16 +18,11 @@
     rate,
     unavailable_for,
 )
-from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.peer_table import PassTimePerStream, StreamLoad
 from linnetwind.permit_shares import Demand, own_share
 from linnetwind.ranks_by_group import SortedRanks
 from linnetwind.routes import EngineProfile
-from linnetwind.admission_policy import (
-    CapacityView,
-    reserve_for_arrivals,
-    reserve_for_newcomers,
-)
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.wait_queue import WaitQueue
 
 # The number of recent starts from which the time of the next one is estimated,
--- a/linnetwind/side_calls.py
+++ b/linnetwind/side_calls.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from linnetwind.address import Address
-from linnetwind.clock import Clock
 from linnetwind.call_admission import Action, CallAdmission, Refuse, StartCall
-from linnetwind.messages import Call, End, CallStatus, Head, Lost, Refused
+from linnetwind.clock import Clock
+from linnetwind.messages import Call, CallStatus, End, Head, Lost, Refused
 from linnetwind.outcome import Reason
 from linnetwind.upstream_http import UpstreamHttpCall, requested_backoff
 
--- a/linnetwind/side_calls_test.py
+++ b/linnetwind/side_calls_test.py
@@ -5,8 +5,8 @@
 import pytest
 
 from linnetwind.address import Address
-from linnetwind.clock import ManualClock
 from linnetwind.call_admission import CallAdmission
+from linnetwind.clock import ManualClock
 from linnetwind.messages import Call, Head, Refused
 from linnetwind.outcome import Reason
 from linnetwind.side_calls import UpstreamCalls
--- a/linnetwind/side_daemon.py
+++ b/linnetwind/side_daemon.py
@@ -11,12 +11,12 @@
 from prometheus_client import CollectorRegistry, Gauge, start_http_server
 
 from linnetwind.background import guarded, in_background
+from linnetwind.call_admission import CallAdmission
 from linnetwind.clock import SystemClock
 from linnetwind.config import Base, ServiceKind, Upstream
 from linnetwind.config_fold import ConfigState
 from linnetwind.config_merge import effective_base
 from linnetwind.engine_feed import EngineFeed, EngineUpdates
-from linnetwind.call_admission import CallAdmission
 from linnetwind.hosts_http import host_list_interval
 from linnetwind.hosts_port import HostState
 from linnetwind.keyed_calls import KeyedCalls
--- a/linnetwind/side_server.py
+++ b/linnetwind/side_server.py
@@ -14,12 +14,12 @@
 from linnetwind.config_follower import ConfigFollower
 from linnetwind.messages import (
     Call,
+    CallStatus,
+    CallStatusQuery,
     Cancel,
     ConfigCopy,
     ConfigQuery,
     Demand,
-    CallStatus,
-    CallStatusQuery,
     GroupNote,
     Hello,
     Leaving,
@@ -30,9 +30,9 @@
 from linnetwind.peer_connection import (
     MAX_FRAME_BYTES,
     Identity,
+    accept_handshake,
     receive_message,
     send_message,
-    accept_handshake,
 )
 from linnetwind.side_calls import Send, UpstreamCalls
 
--- a/linnetwind/stream_admission_control.py
+++ b/linnetwind/stream_admission_control.py
@@ -10,20 +10,20 @@
 from collections.abc import Callable, Mapping, Sequence
 from datetime import timedelta
 
+from linnetwind.admission_policy import CapacityView, RejectStream
 from linnetwind.clock import Clock
-from linnetwind.group_outages import record_crash
 from linnetwind.group_capacity import (
     UNNAMED_GROUP,
     GroupCapacity,
     GroupCount,
+    apply_summary,
     expire_times,
     group_stream_limit,
     opens_in,
     recent_summary,
-    apply_summary,
     unavailable_for,
 )
-from linnetwind.upstream_incarnation import UpstreamIncarnation
+from linnetwind.group_outages import record_crash
 from linnetwind.pass_time_estimator import Pause
 from linnetwind.peer_table import (
     GroupSummary,
@@ -40,7 +40,7 @@
     permit_share,
     stream_load,
 )
-from linnetwind.admission_policy import CapacityView, RejectStream
+from linnetwind.upstream_incarnation import UpstreamIncarnation
 from linnetwind.upstream_list import Upstream
 from linnetwind.wait_queue import PermitRequest, WaitQueue
 
--- a/linnetwind/stream_backoff_test.py
+++ b/linnetwind/stream_backoff_test.py
@@ -2,19 +2,19 @@
 
 from datetime import UTC, datetime
 
-from linnetwind.clock import ManualClock
-from linnetwind.group_capacity import GroupCount
-from linnetwind.peer_table import GroupSummary
-from linnetwind.routes import RoutedService
 from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     MIN_RETRY_AFTER,
     CapacityView,
+    PendingStream,
     QueueStream,
     RejectStream,
-    PendingStream,
     decide_admission,
 )
+from linnetwind.clock import ManualClock
+from linnetwind.group_capacity import GroupCount
+from linnetwind.peer_table import GroupSummary
+from linnetwind.routes import RoutedService
 from linnetwind.stream_admission_control import StreamAdmission
 from standins.gateway_fixtures import MS, SECOND, make_engine
 from standins.stream_fixtures import FIRST
--- a/linnetwind/upstream_acquisition_test.py
+++ b/linnetwind/upstream_acquisition_test.py
@@ -8,8 +8,8 @@
 from linnetwind.address import Address
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
-from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.upstream_acquisition import (
     MIN_RETRY_DELAY,
     acquire_or_wait,
--- a/linnetwind/upstream_attempt.py
+++ b/linnetwind/upstream_attempt.py
@@ -3,21 +3,21 @@
 from datetime import timedelta
 from http import HTTPStatus
 
-from linnetwind.response_relay import ResponseRelay
 from linnetwind.backpressure import record_backpressure
 from linnetwind.call_policy import FailedAttempt
-from linnetwind.call_types import ResponseFacts, Forwarding
+from linnetwind.call_types import Forwarding, ResponseFacts
 from linnetwind.caller_connection import CallerConnection
 from linnetwind.crash_guard import record_if_crashed
 from linnetwind.request_context import (
     CALLER_LEFT,
-    RequestResult,
     GatewayContext,
     RequestContext,
+    RequestResult,
     as_failed_attempt,
 )
+from linnetwind.response_relay import ResponseRelay
 from linnetwind.routes import RouteKind
-from linnetwind.upstream_call import Head, ConnectFailed, TimedOut, UpstreamCall
+from linnetwind.upstream_call import ConnectFailed, Head, TimedOut, UpstreamCall
 from linnetwind.upstream_list import Upstream
 
 # The fraction of the remaining time that an idempotent request waits for the
--- a/linnetwind/upstream_leaving_test.py
+++ b/linnetwind/upstream_leaving_test.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from linnetwind.upstream_list import MAX_LEAVING, UpstreamRecord, UpstreamList
+from linnetwind.upstream_list import MAX_LEAVING, UpstreamList, UpstreamRecord
 from standins.gateway_fixtures import make_upstream
 
 NOW = timedelta()
--- a/linnetwind/upstream_limits.py
+++ b/linnetwind/upstream_limits.py
@@ -17,8 +17,8 @@
 from linnetwind.clock import Clock
 from linnetwind.limit_share import RateShare, SendSchedule, rate_share_of
 from linnetwind.upstream_incarnation import (
-    UpstreamIncarnation,
     IncarnationTag,
+    UpstreamIncarnation,
     tag_incarnation,
 )
 from linnetwind.upstream_list import Upstream
--- a/linnetwind/upstream_list.py
+++ b/linnetwind/upstream_list.py
@@ -13,13 +13,13 @@
 from typing import Self, TypeVar
 
 from linnetwind.address import Address
+from linnetwind.record_store import Position
 from linnetwind.upstream_incarnation import (
-    UpstreamIncarnation,
     IncarnationTag,
+    UpstreamIncarnation,
     name_incarnation,
     tag_incarnation,
 )
-from linnetwind.record_store import Position
 
 # A live upstream registers again within about two seconds after the store is
 # back from an outage in which its entry expired (the platform's figure).
--- a/linnetwind/upstream_list_test.py
+++ b/linnetwind/upstream_list_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linnetwind.upstream_list import RETURN_GRACE, UpstreamRecord, UpstreamList
+from linnetwind.upstream_list import RETURN_GRACE, UpstreamList, UpstreamRecord
 from standins.gateway_fixtures import make_upstream
 
 NOW = timedelta(seconds=100)
--- a/linnetwind/upstream_refusals_test.py
+++ b/linnetwind/upstream_refusals_test.py
@@ -7,8 +7,8 @@
 from linnetwind.clock import ManualClock
 from linnetwind.gateway_state import GatewayState
 from linnetwind.peer_table import GroupSummary
-from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.routes import RoutedService
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import MS, SECOND, make_engine, make_upstream
 
--- a/linnetwind/wait_queue.py
+++ b/linnetwind/wait_queue.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
-from linnetwind.clock import Clock
 from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     STOPPING,
     AdmissionDecision,
     CapacityView,
+    PendingStream,
     QueueStream,
     RejectStream,
-    PendingStream,
     decide_admission,
 )
+from linnetwind.clock import Clock
 from linnetwind.upstream_list import Upstream
 
 # How often the first stream in the queue polls the capacity, which depends on
--- a/linnetwind/wait_queue_test.py
+++ b/linnetwind/wait_queue_test.py
@@ -5,7 +5,6 @@
 from dataclasses import replace
 from datetime import UTC, datetime, timedelta
 
-from linnetwind.clock import ManualClock, SystemClock
 from linnetwind.admission_policy import (
     MAX_RETRY_WAIT,
     MIN_RETRY_AFTER,
@@ -13,6 +12,7 @@
     CapacityView,
     RejectStream,
 )
+from linnetwind.clock import ManualClock, SystemClock
 from linnetwind.wait_queue import PermitRequest, WaitQueue, queue_position_key
 from standins.gateway_fixtures import MS, SECOND, make_upstream
 from standins.stream_fixtures import TARGET, VIEW
--- a/standins/bench_limits.py
+++ b/standins/bench_limits.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime, timedelta
 
+from linnetwind.call_admission import CallAdmission, StartCall
 from linnetwind.clock import ManualClock
 from linnetwind.config import Customer
-from linnetwind.call_admission import CallAdmission, StartCall
 from linnetwind.customer_rate_limits import Admitted, CustomerRateLimiter
 from linnetwind.messages import CustomerDemand, Demand
 from linnetwind.shares import ShareAllocator
--- a/standins/dispatch_crashes_test.py
+++ b/standins/dispatch_crashes_test.py
@@ -10,7 +10,6 @@
 from result import Ok
 
 from linnetwind.address import Address
-from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.clock import SystemClock
 from linnetwind.config import (
     Base,
@@ -24,6 +23,7 @@
 from linnetwind.fleet import Fleet
 from linnetwind.hosts_port import Host, HostState
 from linnetwind.http_request import HttpRequest, check_request
+from linnetwind.in_flight_call import InterruptedResponse, OpenResponse
 from linnetwind.link import CallStream
 from linnetwind.outcome import NotRun
 from linnetwind.upstream_http import UpstreamHttpCall
--- a/standins/explorer.py
+++ b/standins/explorer.py
@@ -15,8 +15,8 @@
 
 from linnetwind.mapcoordinator import (
     Coordination,
-    request_preparation,
     apply_prepared,
+    request_preparation,
 )
 from linnetwind.mapswitch import handle_note, handle_status
 from linnetwind.mapswitch_side import Participant, make_participant
--- a/standins/gateway_harness.py
+++ b/standins/gateway_harness.py
@@ -10,13 +10,13 @@
 from linnetwind.call_types import Dialect
 from linnetwind.caller_service import serve_caller
 from linnetwind.clock import SystemClock
+from linnetwind.drain_order import Fleet, FleetDaemon
 from linnetwind.gateway_state import GatewayState
 from linnetwind.gateway_stop import GatewayStop
-from linnetwind.request_context import GatewayContext
 from linnetwind.peer_table import GroupSummary
-from linnetwind.shared_retry_budget import RetryBudgetTerms
+from linnetwind.request_context import GatewayContext
 from linnetwind.routes import RouteTable
-from linnetwind.drain_order import Fleet, FleetDaemon
+from linnetwind.shared_retry_budget import RetryBudgetTerms
 from linnetwind.upstream_call import open_call
 from linnetwind.upstream_list import UpstreamRecord
 from standins.gateway_fixtures import make_upstream
--- a/standins/rank_orders.py
+++ b/standins/rank_orders.py
@@ -17,7 +17,7 @@
     RankReport,
     ReleasePass,
 )
-from linnetwind.rollout import TargetMap, RankCommand, Round
+from linnetwind.rollout import RankCommand, Round, TargetMap
 
 # What may happen next in a walk, and how often; and what else where single
 # ranks start again.
--- a/standins/rank_restarts.py
+++ b/standins/rank_restarts.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from linnetwind.rank_types import RankReport
-from linnetwind.rollout import TargetMap, RankCommand, Round
+from linnetwind.rollout import RankCommand, Round, TargetMap
 from standins.rank_orders import GroupModel
 
 Decide = Callable[[dict[int, RankReport], TargetMap | None], Round]
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -29,12 +29,12 @@
 from standins.soak_checks import (
     History,
     Span,
+    check_backpressure,
     check_configuration,
     check_crashes,
     check_drains,
     check_recovery,
     check_stops,
-    check_backpressure,
 )
 from standins.soak_extras import (
     come_back_older,
